--- a/aspensaddle/conformance/__main__.py
+++ b/aspensaddle/conformance/__main__.py
@@ -27,11 +27,23 @@
     parser.add_argument("--seed", type=int, default=0, help="of the links")
     parser.add_argument("--jobs", type=int, default=min(4, os.cpu_count() or 1), help="beds at a time")
     args = parser.parse_args(argv)
-    chosen = [c for c in suite.load() if not (args.quick and c.slow)
-              and (not args.only or args.only in f"{c.number} {c.section} {c.name} {c.says}")]
+    chosen = [
+        c
+        for c in suite.load()
+        if not (args.quick and c.slow) and (not args.only or args.only in f"{c.number} {c.section} {c.name} {c.says}")
+    ]
     tell = sys.stderr.isatty()
-    results = suite.run(chosen, args.memory, args.seed, max(1, args.jobs), lambda r: print(
-        f"\r{r.number:4} {r.verdict:15} {r.name:.60}", file=sys.stderr) if tell or r.verdict == "failed" else None)
+    results = suite.run(
+        chosen,
+        args.memory,
+        args.seed,
+        max(1, args.jobs),
+        lambda r: (
+            print(f"\r{r.number:4} {r.verdict:15} {r.name:.60}", file=sys.stderr)
+            if tell or r.verdict == "failed"
+            else None
+        ),
+    )
     if args.json:
         try:
             Path(args.json).write_bytes(orjson.dumps(suite.as_json(results), option=orjson.OPT_INDENT_2))
--- a/aspensaddle/conformance/bed.py
+++ b/aspensaddle/conformance/bed.py
@@ -17,7 +17,7 @@
 ID_KEY = b"sixteen octets!!"
 FORM = IdFormat(2, 2, 14, key=ID_KEY)
 TOKEN_SECRET = b"the shared key!!"
-TOKEN_FILE = f"[[keys]]\nsequence = 5\nkey = \"{TOKEN_SECRET.hex()}\"\n"
+TOKEN_FILE = f'[[keys]]\nsequence = 5\nkey = "{TOKEN_SECRET.hex()}"\n'
 LIFETIME = 8.0
 WITHIN = 15.0
 
@@ -52,9 +52,11 @@
     for form in forms:
         key = f'key = "{form.key.hex()}"\n' if form.key is not None else ""
         names = "".join(f'"{r.uid}" = "{server_id(form, r).hex()}"\n' for r in runners)
-        out.append(f"[[ids]]\nrotation = {form.rotation}\nserver_id_length = {form.server_id_length}\n"
-                   f"nonce_length = {form.nonce_length}\nself_length = {str(form.self_length).lower()}\n{key}{more}"
-                   f"[ids.runners]\n{names}")
+        out.append(
+            f"[[ids]]\nrotation = {form.rotation}\nserver_id_length = {form.server_id_length}\n"
+            f"nonce_length = {form.nonce_length}\nself_length = {str(form.self_length).lower()}\n{key}{more}"
+            f"[ids.runners]\n{names}"
+        )
     return "".join(out)
 
 
@@ -73,8 +75,16 @@
         tickets: dict[bytes, Any] = {}
         self.runners: list[Runner] = []
         for i, mode in enumerate(spec.modes):
-            runner = Runner(self.net, f"s-{i}", spec.forms[0], b"", mode, tickets=tickets, unix=self.unix,
-                            tokens=self.tokens if spec.retry_above is not None else None)
+            runner = Runner(
+                self.net,
+                f"s-{i}",
+                spec.forms[0],
+                b"",
+                mode,
+                tickets=tickets,
+                unix=self.unix,
+                tokens=self.tokens if spec.retry_above is not None else None,
+            )
             runner.server_id = server_id(spec.forms[0], runner)
             self.runners.append(runner)
         self.fronts: list[Front] = [self._front(folder / f"n{i}", f"n{i}") for i in range(spec.fronts)]
@@ -84,16 +94,22 @@
 
     def unix(self) -> float:
         import time
+
         return self.net.now() if self.memory else time.time()
 
     def toml(self, ids: str = "", more: str | None = None, rules: str | None = None) -> str:
         """The operator's file of this bed, with some of it otherwise."""
         spec = self.spec
-        retry = "" if spec.retry_above is None else \
-            f'[retry]\nabove_per_s = {spec.retry_above}\nkeys = "keys.toml"\nlifetime_s = {LIFETIME}\n'
-        return (f'enabled = true\nlisten = "LISTEN"\nclass = "test-run"\nreset_key = "{RESET_KEY.hex()}"\n'
-                f'idle_s = {spec.idle}\nreply_within_s = {spec.reply}\n{spec.more if more is None else more}\n'
-                f'{ids or ids_toml(spec.forms, self.runners)}\n{spec.rules if rules is None else rules}\n{retry}')
+        retry = (
+            ""
+            if spec.retry_above is None
+            else f'[retry]\nabove_per_s = {spec.retry_above}\nkeys = "keys.toml"\nlifetime_s = {LIFETIME}\n'
+        )
+        return (
+            f'enabled = true\nlisten = "LISTEN"\nclass = "test-run"\nreset_key = "{RESET_KEY.hex()}"\n'
+            f"idle_s = {spec.idle}\nreply_within_s = {spec.reply}\n{spec.more if more is None else more}\n"
+            f"{ids or ids_toml(spec.forms, self.runners)}\n{spec.rules if rules is None else rules}\n{retry}"
+        )
 
     def _front(self, folder: Path, name: str) -> Front:
         targets, files = [r.target() for r in self.runners], {"keys.toml": TOKEN_FILE}
--- a/aspensaddle/conformance/cases/invariants.py
+++ b/aspensaddle/conformance/cases/invariants.py
@@ -28,8 +28,8 @@
 @case("8999-6", "A Version Negotiation lists the versions there are, and not the one that was asked for")
 def negotiation_lists_versions(bed: Bed) -> None:
     _, answer = _negotiation(bed, b"dest-id!", b"source")
-    listed = answer[7 + 8 + 6:]
-    versions = {int.from_bytes(listed[i:i + 4], "big") for i in range(0, len(listed), 4)}
+    listed = answer[7 + 8 + 6 :]
+    versions = {int.from_bytes(listed[i : i + 4], "big") for i in range(0, len(listed), 4)}
     bed.check({1, 0x6B3343CF} <= versions and STRANGE not in versions, f"1 and 2, not the strange one: {versions}")
 
 
--- a/aspensaddle/conformance/cases/sealed.py
+++ b/aspensaddle/conformance/cases/sealed.py
@@ -31,7 +31,7 @@
 def tampered(bed: Bed) -> None:
     data = craft.initial(bed.id, craft.SCID, craft.crypto(0, craft.client_hello()))
     for at in (1, 6, 25, 200, 1199):
-        bed.check(not taken(bed, data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1:]), f"octet {at}")
+        bed.check(not taken(bed, data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :]), f"octet {at}")
 
 
 def _speaks(bed: Bed, say: bytes) -> None:
@@ -40,6 +40,7 @@
 
     def received(data: bytes, source: Address) -> None:
         bed.net.send(runner, say, source)
+
     runner.received = received  # type: ignore[method-assign]
 
 
@@ -49,8 +50,12 @@
 
 @case("9001-5.2", "A reply that does not open under the client's keys does not count as the runner's", LONE)
 def forged_reply(bed: Bed) -> None:
-    _speaks(bed, craft.initial(craft.SCID, b"server-id", craft.crypto(0, b"\x02" + bytes(90)), keys_from=b"guessed",
-                               server=True))
+    _speaks(
+        bed,
+        craft.initial(
+            craft.SCID, b"server-id", craft.crypto(0, b"\x02" + bytes(90)), keys_from=b"guessed", server=True
+        ),
+    )
     raw = bed.raw()
     raw.send(craft.initial(bed.id, craft.SCID, craft.crypto(0, craft.client_hello())), bed.address)
     bed.run(LONE.deadline + 0.5)
--- a/aspensaddle/conformance/craft.py
+++ b/aspensaddle/conformance/craft.py
@@ -17,13 +17,21 @@
 FULL = 1200  # octets of a datagram with a client's Initial
 
 
-def client_hello(name: str | None = "x.example", alpn: tuple[str, ...] = ("lines",), large: bool = False,
-                 size: int = 0, scid: bytes = SCID) -> bytes:
+def client_hello(
+    name: str | None = "x.example",
+    alpn: tuple[str, ...] = ("lines",),
+    large: bool = False,
+    size: int = 0,
+    scid: bytes = SCID,
+) -> bytes:
     """A whole TLS ClientHello, of at least `size` octets, of a client whose id is `scid`."""
     if size:
         alpn = (*alpn, *(f"pad-{i}".ljust(200, "x") for i in range(size // 200)))
-    client = QuicConnection(configuration=QuicConfiguration(
-        is_client=True, server_name=name, alpn_protocols=list(alpn), quantum_readiness_test=large))
+    client = QuicConnection(
+        configuration=QuicConfiguration(
+            is_client=True, server_name=name, alpn_protocols=list(alpn), quantum_readiness_test=large
+        )
+    )
     client._host_cids[0].cid = client.host_cid = client._local_initial_source_connection_id = scid
     client.connect(("127.0.0.1", 1), now=0.0)
     pieces: dict[int, bytes] = {}
@@ -42,11 +50,28 @@
     return bytes([CLOSE]) + encode_uint_var(code) + b"\x00\x00"
 
 
-def initial(dcid: bytes, scid: bytes, frames: bytes, version: int = 1, token: bytes = b"", number: int = 0,
-            size: int = FULL, keys_from: bytes | None = None, server: bool = False) -> bytes:
+def initial(
+    dcid: bytes,
+    scid: bytes,
+    frames: bytes,
+    version: int = 1,
+    token: bytes = b"",
+    number: int = 0,
+    size: int = FULL,
+    keys_from: bytes | None = None,
+    server: bool = False,
+) -> bytes:
     """One sealed Initial, padded so that it fills a datagram of `size` octets."""
-    head = (bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, 1)]) + version.to_bytes(4, "big")
-            + bytes([len(dcid)]) + dcid + bytes([len(scid)]) + scid + encode_uint_var(len(token)) + token)
+    head = (
+        bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, 1)])
+        + version.to_bytes(4, "big")
+        + bytes([len(dcid)])
+        + dcid
+        + bytes([len(scid)])
+        + scid
+        + encode_uint_var(len(token))
+        + token
+    )
     padding = max(0, size - len(head) - 2 - 2 - len(frames) - 16)
     payload = frames + bytes(padding)
     length = 2 + len(payload) + 16
--- a/aspensaddle/conformance/front.py
+++ b/aspensaddle/conformance/front.py
@@ -34,11 +34,22 @@
 def settings(deadline: float = 3.0, **more: Any) -> dict[str, Any]:
     """The module's settings, as the platform writes them."""
     lanes = [{"name": name, "aim": 0.3, "deadline": deadline, "repeat": "pure", "worth": 1.0} for name in CLASSES]
-    return {"discovery": "pushed", "failure-domains": ["here"], "fleet-size": 1, "lanes": lanes,
-            "family-info": {"groups": True, "message-aim": [0.15, 0.15]},
-            "guarantees": {"drain-grace": 2.0, "warm-after": 0.0},
-            "limits": {"connect-timeout": 0.5, "most-tries": 6, "retry-after": True, "max-retry-after": 1.0,
-                       "cancel": True}, **more}
+    return {
+        "discovery": "pushed",
+        "failure-domains": ["here"],
+        "fleet-size": 1,
+        "lanes": lanes,
+        "family-info": {"groups": True, "message-aim": [0.15, 0.15]},
+        "guarantees": {"drain-grace": 2.0, "warm-after": 0.0},
+        "limits": {
+            "connect-timeout": 0.5,
+            "most-tries": 6,
+            "retry-after": True,
+            "max-retry-after": 1.0,
+            "cancel": True,
+        },
+        **more,
+    }
 
 
 def free_port(kind: socket.SocketKind) -> int:
@@ -64,15 +75,27 @@
 class ProcessFront:
     """`python -m aspensaddle` on free ports, with files in a folder of its own."""
 
-    def __init__(self, folder: Path, toml: str, targets: list[dict[str, Any]], deadline: float = 3.0,
-                 name: str = "n0", files: dict[str, str] | None = None,
-                 pump: Callable[[Callable[[], Any], float], bool] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        toml: str,
+        targets: list[dict[str, Any]],
+        deadline: float = 3.0,
+        name: str = "n0",
+        files: dict[str, str] | None = None,
+        pump: Callable[[Callable[[], Any], float], bool] | None = None,
+    ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self.folder, self._pump = folder, pump
         self.address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
-        self._config = {"name": name, "listen": f"127.0.0.1:{free_port(socket.SOCK_STREAM)}", "seed": name,
-                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                        "settings": settings(deadline), "known": {"rev": 1, "all": True, "targets": targets}}
+        self._config = {
+            "name": name,
+            "listen": f"127.0.0.1:{free_port(socket.SOCK_STREAM)}",
+            "seed": name,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": settings(deadline),
+            "known": {"rev": 1, "all": True, "targets": targets},
+        }
         for file, content in (files or {}).items():
             (folder / file).write_text(content)
         self._write(toml)
@@ -86,15 +109,19 @@
         (self.folder / "new.json").replace(self.folder / "config.json")
 
     def _start(self) -> subprocess.Popen[bytes]:
-        environ = {**os.environ, "LB_CONFIG": str(self.folder / "config.json"),
-                   "ASPENSADDLE_QUIC": str(self.folder / "quic.toml"),
-                   "ASPENSADDLE_STORE": str(self.folder / "no-store.toml")}
+        environ = {
+            **os.environ,
+            "LB_CONFIG": str(self.folder / "config.json"),
+            "ASPENSADDLE_QUIC": str(self.folder / "quic.toml"),
+            "ASPENSADDLE_STORE": str(self.folder / "no-store.toml"),
+        }
         for name in ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY"):
             environ.pop(name, None)
         self._log.write_bytes(b"")
         with self._log.open("ab") as log:
-            process = subprocess.Popen([sys.executable, "-m", "aspensaddle"], cwd=ROOT, env=environ,
-                                       stdout=log, stderr=log)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "aspensaddle"], cwd=ROOT, env=environ, stdout=log, stderr=log
+            )
         self._wait(lambda: self.events("quic started") or process.poll() is not None)
         if process.poll() is not None:
             raise RuntimeError(self._log.read_text())
@@ -165,9 +192,17 @@
 class MemoryFront:
     """The engine, the driver and the module in the time of a `MemoryNet`."""
 
-    def __init__(self, net: MemoryNet, folder: Path, toml: str, targets: list[dict[str, Any]],
-                 deadline: float = 3.0, seed: int = 1, files: dict[str, str] | None = None,
-                 address: Address | None = None) -> None:
+    def __init__(
+        self,
+        net: MemoryNet,
+        folder: Path,
+        toml: str,
+        targets: list[dict[str, Any]],
+        deadline: float = 3.0,
+        seed: int = 1,
+        files: dict[str, str] | None = None,
+        address: Address | None = None,
+    ) -> None:
         self.net, self.folder, self._deadline, self._seed = net, folder, deadline, seed
         folder.mkdir(parents=True, exist_ok=True)
         self.link_in, self.link_out = Link(), Link()
@@ -187,8 +222,16 @@
         self.driver = Driver(parse_settings(settings(self._deadline)), self._seed, self, self.net.now)
         loaded = load_quic(self._file(self._toml), CLASSES)
         assert loaded is not None
-        self.engine = Engine(loaded, self.driver, self.fleet, self.counters, _Quiet(), self,  # type: ignore[arg-type]
-                             self.net.now, self.net.now())
+        self.engine = Engine(
+            loaded,
+            self.driver,
+            self.fleet,
+            self.counters,
+            _Quiet(),  # type: ignore[arg-type]
+            self,
+            self.net.now,
+            self.net.now(),
+        )
         self._next_sweep = self.net.now()
         self._slots: set[int] = set()
         self.driver.start(self.fleet.take(parse_update({"rev": 1, "all": True, "targets": self._targets})))
@@ -230,8 +273,11 @@
     def timer(self) -> float | None:
         at = self.engine.next_timer()
         wait = self.driver.next_timer()
-        return min(self._next_sweep, *(t for t in (at, None if wait is None else self.net.now() + wait)
-                                       if t is not None), self._next_sweep)
+        return min(
+            self._next_sweep,
+            *(t for t in (at, None if wait is None else self.net.now() + wait) if t is not None),
+            self._next_sweep,
+        )
 
     def expired(self) -> None:
         self.driver.run_timers()
@@ -256,6 +302,7 @@
 
     def configure(self, toml: str) -> bool:
         from aspensaddle.support.files import ConfigError
+
         try:
             loaded = load_quic(self._file(toml), CLASSES)
         except ConfigError:
--- a/aspensaddle/conformance/link.py
+++ b/aspensaddle/conformance/link.py
@@ -28,5 +28,5 @@
         out = []
         for _ in range(copies):
             whole = len(data) < 2 or r.random() >= self.cut
-            out.append((self.delay + r.random() * self.jitter, data if whole else data[:r.randrange(1, len(data))]))
+            out.append((self.delay + r.random() * self.jitter, data if whole else data[: r.randrange(1, len(data))]))
         return out
--- a/aspensaddle/conformance/net.py
+++ b/aspensaddle/conformance/net.py
@@ -194,6 +194,7 @@
         def land() -> None:
             if (end := self._by_address.get(to)) is not None:
                 self.arrive(end, data, source)
+
         self.later(HOP, land)
 
     def reaches(self, to: Address) -> bool:
--- a/aspensaddle/conformance/peers.py
+++ b/aspensaddle/conformance/peers.py
@@ -41,15 +41,23 @@
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "runner")])
     now = datetime.datetime.now(datetime.UTC)
     certificate = (
-        x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
-        .serial_number(1).not_valid_before(now - datetime.timedelta(days=1))
-        .not_valid_after(now + datetime.timedelta(days=1)).sign(key, hashes.SHA256())
+        x509.CertificateBuilder()
+        .subject_name(name)
+        .issuer_name(name)
+        .public_key(key.public_key())
+        .serial_number(1)
+        .not_valid_before(now - datetime.timedelta(days=1))
+        .not_valid_after(now + datetime.timedelta(days=1))
+        .sign(key, hashes.SHA256())
     )
     with TemporaryDirectory() as folder:
         cert, private = Path(folder) / "cert.pem", Path(folder) / "key.pem"
         cert.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
-        private.write_bytes(key.private_bytes(
-            serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()))
+        private.write_bytes(
+            key.private_bytes(
+                serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+            )
+        )
         configuration = QuicConfiguration(is_client=False)
         configuration.load_cert_chain(cert, private)
     return configuration
@@ -66,8 +74,9 @@
 
     def _new_id(self, number: int) -> QuicConnectionId:
         cid = self.issue()
-        return QuicConnectionId(cid=cid, sequence_number=number, was_sent=number == 0,
-                                stateless_reset_token=reset_token(RESET_KEY, cid))
+        return QuicConnectionId(
+            cid=cid, sequence_number=number, was_sent=number == 0, stateless_reset_token=reset_token(RESET_KEY, cid)
+        )
 
     def _replenish_connection_ids(self) -> None:
         while self.host_cid and len(self._host_cids) < min(8, self._remote_active_connection_id_limit):
@@ -85,10 +94,19 @@
     more than three times what came). `tokens`: what it checks the front's Retry tokens with.
     """
 
-    def __init__(self, net: Net, uid: str, form: IdFormat, server_id: bytes, mode: str = "ok",
-                 tokens: Tokens | None = None, issue: Callable[[], bytes] | None = None,
-                 versions: tuple[int, ...] = (V1, V2), tickets: dict[bytes, SessionTicket] | None = None,
-                 unix: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        net: Net,
+        uid: str,
+        form: IdFormat,
+        server_id: bytes,
+        mode: str = "ok",
+        tokens: Tokens | None = None,
+        issue: Callable[[], bytes] | None = None,
+        versions: tuple[int, ...] = (V1, V2),
+        tickets: dict[bytes, SessionTicket] | None = None,
+        unix: Callable[[], float] | None = None,
+    ) -> None:
         self.net, self.uid, self.mode = net, uid, mode
         self.form, self.server_id, self.tokens = form, server_id, tokens
         self.issue = issue or (lambda: self.form.encode(self.server_id))
@@ -114,8 +132,17 @@
 
     def target(self, **more: Any) -> dict[str, Any]:
         """Its entry in a list."""
-        return {"uid": self.uid, "endpoint": f"{self.address[0]}:{self.address[1]}", "az": "here", "model": "m",
-                "pod_group": 0, "state": "active", "capacity_hint": 1.0, "boot_ms": 0, **more}
+        return {
+            "uid": self.uid,
+            "endpoint": f"{self.address[0]}:{self.address[1]}",
+            "az": "here",
+            "model": "m",
+            "pod_group": 0,
+            "state": "active",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+            **more,
+        }
 
     # ------------------------------------------------------------ datagrams
 
@@ -135,7 +162,7 @@
             dcid = parse_invariants(data).dcid
             return self._by_id.get(dcid) if dcid else self._by_peer.get(source)
         for length in self._lengths:
-            if (found := self._by_id.get(data[1:1 + length])) is not None:
+            if (found := self._by_id.get(data[1 : 1 + length])) is not None:
                 return found
         return self._by_peer.get(source)
 
@@ -151,8 +178,12 @@
         self.offered += 1
         self.first_seen.setdefault(dcid, self.net.now())
         if header.version not in self.versions:
-            self._say(encode_quic_version_negotiation(
-                source_cid=dcid, destination_cid=header.source_cid, supported_versions=list(self.versions)), source)
+            self._say(
+                encode_quic_version_negotiation(
+                    source_cid=dcid, destination_cid=header.source_cid, supported_versions=list(self.versions)
+                ),
+                source,
+            )
         elif self.mode in ("refuse", "fail"):
             code = CONNECTION_REFUSED if self.mode == "refuse" else INTERNAL_ERROR
             (packet, *_) = long_packets(data)
@@ -175,13 +206,22 @@
                 original, retried = proof.original, dcid
         self.begun += 1
         configuration = QuicConfiguration(
-            is_client=False, alpn_protocols=["lines", "h3", "lines/7"], idle_timeout=60,
-            connection_id_length=len(self.issue()), supported_versions=list(self.versions),
-            certificate=server_configuration().certificate, private_key=server_configuration().private_key)
+            is_client=False,
+            alpn_protocols=["lines", "h3", "lines/7"],
+            idle_timeout=60,
+            connection_id_length=len(self.issue()),
+            supported_versions=list(self.versions),
+            certificate=server_configuration().certificate,
+            private_key=server_configuration().private_key,
+        )
         connection = ServerSide(
-            self.issue, configuration=configuration, original_destination_connection_id=original,
-            retry_source_connection_id=retried, session_ticket_fetcher=lambda label: self.tickets.pop(label, None),
-            session_ticket_handler=lambda ticket: self.tickets.__setitem__(ticket.ticket, ticket))
+            self.issue,
+            configuration=configuration,
+            original_destination_connection_id=original,
+            retry_source_connection_id=retried,
+            session_ticket_fetcher=lambda label: self.tickets.pop(label, None),
+            session_ticket_handler=lambda ticket: self.tickets.__setitem__(ticket.ticket, ticket),
+        )
         self.held.append(connection)
         self._by_id[dcid] = connection
         self._by_peer[source] = connection
@@ -229,11 +269,23 @@
     """A browser's side. It can change its port, its ids and its balancer, and knows a stateless reset when it sees
     one. `hold` keeps what it would send in `held` for the case to send as it likes."""
 
-    def __init__(self, net: Net, front: Address, name: str | None = "x.example", alpn: tuple[str, ...] = ALPN,
-                 versions: tuple[int, ...] = (V1,), original: int = 0, id_length: int = 8, token: bytes = b"",
-                 large: bool = False,
-                 ticket: SessionTicket | None = None, early: bytes = b"", hold: bool = False,
-                 link_in: Link | None = None, link_out: Link | None = None) -> None:
+    def __init__(
+        self,
+        net: Net,
+        front: Address,
+        name: str | None = "x.example",
+        alpn: tuple[str, ...] = ALPN,
+        versions: tuple[int, ...] = (V1,),
+        original: int = 0,
+        id_length: int = 8,
+        token: bytes = b"",
+        large: bool = False,
+        ticket: SessionTicket | None = None,
+        early: bytes = b"",
+        hold: bool = False,
+        link_in: Link | None = None,
+        link_out: Link | None = None,
+    ) -> None:
         self.net, self.front = net, front
         self.link_in, self.link_out = link_in or Link(), link_out or Link()
         self.address: Address = ("", 0)
@@ -247,11 +299,22 @@
         self.tickets: list[SessionTicket] = []
         self.tokens: set[bytes] = set()
         net.bind(self)
-        self.connection = ClientSide(configuration=QuicConfiguration(
-            is_client=True, alpn_protocols=list(alpn), verify_mode=0, idle_timeout=60, server_name=name,
-            connection_id_length=8, supported_versions=list(versions), token=token,
-            original_version=original or versions[0],
-            quantum_readiness_test=large, session_ticket=ticket), session_ticket_handler=self.tickets.append)
+        self.connection = ClientSide(
+            configuration=QuicConfiguration(
+                is_client=True,
+                alpn_protocols=list(alpn),
+                verify_mode=0,
+                idle_timeout=60,
+                server_name=name,
+                connection_id_length=8,
+                supported_versions=list(versions),
+                token=token,
+                original_version=original or versions[0],
+                quantum_readiness_test=large,
+                session_ticket=ticket,
+            ),
+            session_ticket_handler=self.tickets.append,
+        )
         if id_length != 8:
             self._identify(id_length)
         if early:
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -48,12 +48,15 @@
 CASES: list[Case] = []
 
 
-def case(section: str, says: str, spec: Spec | None = None, slow: bool = False) -> Callable[
-        [Callable[[Bed], None]], Callable[[Bed], None]]:
+def case(
+    section: str, says: str, spec: Spec | None = None, slow: bool = False
+) -> Callable[[Callable[[Bed], None]], Callable[[Bed], None]]:
     """Register a case. Numbers follow the order of the files and of the cases in them."""
+
     def register(run: Callable[[Bed], None]) -> Callable[[Bed], None]:
         CASES.append(Case(len(CASES) + 1, section, says, spec or Spec(), run, slow))
         return run
+
     return register
 
 
@@ -65,8 +68,13 @@
     return CASES
 
 
-def run(chosen: Iterable[Case], memory: bool = False, seed: int = 0, jobs: int = 1,
-        told: Callable[[Result], None] = lambda result: None) -> list[Result]:
+def run(
+    chosen: Iterable[Case],
+    memory: bool = False,
+    seed: int = 0,
+    jobs: int = 1,
+    told: Callable[[Result], None] = lambda result: None,
+) -> list[Result]:
     """Run cases, those with the same bed one after the other on it, several beds at a time in processes."""
     groups: dict[object, list[int]] = {}
     for c in chosen:
--- a/aspensaddle/core/balance.py
+++ b/aspensaddle/core/balance.py
@@ -73,10 +73,18 @@
         self.homes, self.short, self.blind = Homes(), Shortage(), 0.0  # part not told of slow ones
         self.broke, self.arrivals = 0.0, Arrivals(SLOTS * TICK)  # breaks seen; requests of late
         self.handlers: dict[type, Callable[..., list[api.Action] | None]] = {
-            api.Started: self._started, api.TimerFired: self._timer_fired, api.Ended: self._ended,
-            api.ServersChanged: self._servers_changed, api.Request: self._request, api.Adopted: self._adopted,
-            api.Established: self._established, api.LoadNote: self._load_note,
-            api.DelayNote: self._delay_note, api.ClientGone: self._client_gone, api.ProbeResult: self._probed}
+            api.Started: self._started,
+            api.TimerFired: self._timer_fired,
+            api.Ended: self._ended,
+            api.ServersChanged: self._servers_changed,
+            api.Request: self._request,
+            api.Adopted: self._adopted,
+            api.Established: self._established,
+            api.LoadNote: self._load_note,
+            api.DelayNote: self._delay_note,
+            api.ClientGone: self._client_gone,
+            api.ProbeResult: self._probed,
+        }
 
     def configure(self, settings: api.Settings) -> None:
         """Take settings, at the start or later. Classes and zones keep the numbers that they have."""
@@ -201,8 +209,7 @@
     def _ask(self, now: float) -> list[api.Action]:
         """Probe the servers whose turn it is, new ones at once."""
         every = probe_every(self.settings, self.ready, self.arrivals.seen()) - TICK / 2
-        return [api.Probe(s.id) for s in self.servers.values()
-                if self.reports and s.ready and s.told.due(now, every)]
+        return [api.Probe(s.id) for s in self.servers.values() if self.reports and s.ready and s.told.due(now, every)]
 
     def _probed(self, now: float, event: api.ProbeResult) -> list[api.Action]:
         """A server told what is asked of it. What it can't do leaves, and waits while others can't either."""
@@ -219,8 +226,7 @@
     def _even(self, now: float) -> list[api.Action]:
         """Loads swing after a connection was placed: of servers that carry much for their cores, the one with
         most for its share loses up to DELTA of what it holds a tick, while that is far over the mean."""
-        laden = [s for s in self.servers.values() if s.holds and s.share
-                 and s.carried > LADEN * s.share * self.ready]
+        laden = [s for s in self.servers.values() if s.holds and s.share and s.carried > LADEN * s.share * self.ready]
         level = self.whole.level() if laden and self.measures and not self.short.missing else 0.0
         if not 0 < level < float("inf"):
             return []
@@ -362,8 +368,7 @@
         own, share = self.own, self.own.share * self.ready  # by listed cores, but for cuts
         others = max(1.0, self.settings.balancers / FEW / self.seen_by)  # if each carries as much
         busy = self.measures and own.carried * others > LOCAL_LOAD * share
-        return own.fit > 0 and not busy and \
-            own.level() <= LOCAL_EXCESS * self.settings.zones * self.whole.level()
+        return own.fit > 0 and not busy and own.level() <= LOCAL_EXCESS * self.settings.zones * self.whole.level()
 
     def _home(self, now: float, area: Area, r: Pending) -> Server | None:
         """Each server that holds any of a group pays for it: its members go to the homes that the list tells,
@@ -414,6 +419,7 @@
     def _move(self, now: float, s: Server, part: float) -> list[api.Action]:
         """Ask part of a server's connections to come again, first those that free most: heavy ones, the last
         of a group."""
+
         def frees(id: str) -> float:
             r = s.holds[id]
             alone = 0.0 if r.ask.group is None else self.group_cost * self.mean / s.groups[r.ask.group]
--- a/aspensaddle/core/driver.py
+++ b/aspensaddle/core/driver.py
@@ -79,8 +79,9 @@
 
 
 class Driver:
-    def __init__(self, settings: api.Settings, seed: int, services: Services,
-                 clock: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, services: Services, clock: Callable[[], float] | None = None
+    ) -> None:
         self.settings, self.services = settings, services
         self.balancer = Balancer(settings, seed)
         self._clock = clock or unix_clock()
@@ -154,8 +155,7 @@
         pending, now = self._pending.get(id), self.now()
         if pending is None or pending.server not in self._ready or now >= min(pending.deadline, self._last_send):
             return False
-        if pending.ran_at is not None \
-                and not self.settings.classes[pending.cls].repeat_open(now - pending.ran_at):
+        if pending.ran_at is not None and not self.settings.classes[pending.cls].repeat_open(now - pending.ran_at):
             return False
         pending.begun = pending.owner.waits()
         return pending.begun
@@ -243,11 +243,18 @@
     def beliefs(self) -> dict[int, dict[str, float]]:
         """What is believed of each server, to be held against what really passes on its connections."""
         now = self.now()
-        return {s.id: {"connections": len(s.holds), "load": round(s.carried, 4), "share": round(s.share, 4),
-                       "sends": s.window.sends, "accepts": s.window.accepts,
-                       "ejected": round(max(0.0, s.ejected_until - now), 2),
-                       "slow": round(max(0.0, s.slow_until - now), 2)}
-                for s in self.balancer.servers.values()}
+        return {
+            s.id: {
+                "connections": len(s.holds),
+                "load": round(s.carried, 4),
+                "share": round(s.share, 4),
+                "sends": s.window.sends,
+                "accepts": s.window.accepts,
+                "ejected": round(max(0.0, s.ejected_until - now), 2),
+                "slow": round(max(0.0, s.slow_until - now), 2),
+            }
+            for s in self.balancer.servers.values()
+        }
 
     # ------------------------------------------------------------ routing
 
--- a/aspensaddle/core/interface.py
+++ b/aspensaddle/core/interface.py
@@ -302,8 +302,18 @@
 
 
 Event: TypeAlias = (
-    Started | ServersChanged | Request | Adopted | Established | Ended | ClientGone
-    | ProbeResult | LoadNote | DelayNote | PeerMessage | TimerFired
+    Started
+    | ServersChanged
+    | Request
+    | Adopted
+    | Established
+    | Ended
+    | ClientGone
+    | ProbeResult
+    | LoadNote
+    | DelayNote
+    | PeerMessage
+    | TimerFired
 )
 
 # ---------------------------------------------------------------- actions
@@ -395,6 +405,4 @@
     delay: float
 
 
-Action: TypeAlias = (
-    Send | Refuse | Fail | Cancel | Move | Probe | CloseIdle | FetchList | WatchList | Tell | SetTimer
-)
+Action: TypeAlias = Send | Refuse | Fail | Cancel | Move | Probe | CloseIdle | FetchList | WatchList | Tell | SetTimer
--- a/aspensaddle/core/settings.py
+++ b/aspensaddle/core/settings.py
@@ -20,11 +20,17 @@
     for i, lane in enumerate(array(m, "lanes")):
         c = as_object(lane, "lanes")
         aim = number(c, "aim")
-        classes.append(RequestClass(
-            aim, number(c, "deadline"), number(c, "worth", 1.0), word(c, "repeat", REPEATS, Repeat.SAFE),
-            word(c, "group", GROUPS, Group.ALL), number(c, "window", 5.0),
-            number({"message-aim": aims[i]}, "message-aim") if i < len(aims) else aim,
-        ))
+        classes.append(
+            RequestClass(
+                aim,
+                number(c, "deadline"),
+                number(c, "worth", 1.0),
+                word(c, "repeat", REPEATS, Repeat.SAFE),
+                word(c, "group", GROUPS, Group.ALL),
+                number(c, "window", 5.0),
+                number({"message-aim": aims[i]}, "message-aim") if i < len(aims) else aim,
+            )
+        )
     report = obj(m, "report", {})
     return Settings(
         classes=tuple(classes),
@@ -46,18 +52,28 @@
         ),
         over_share_worth=number(m, "over-share-worth", 1.0),
         rules=Rules(
-            number(rules, "answer-slack", 0.0), number(rules, "drain-grace", 1.0),
-            number(rules, "cold-share", 0.2), number(rules, "warm-after", 20.0),
-            number(rules, "tip-multiple", 3.0), number(rules, "fall", 2.0),
+            number(rules, "answer-slack", 0.0),
+            number(rules, "drain-grace", 1.0),
+            number(rules, "cold-share", 0.2),
+            number(rules, "warm-after", 20.0),
+            number(rules, "tip-multiple", 3.0),
+            number(rules, "fall", 2.0),
             number(rules, "must-ask-in", 10.0),
         ),
         limits=Limits(
-            integer(limits, "most-tries", 6), number(limits, "connect-timeout", 0.25),
-            flag(limits, "may-duplicate"), flag(limits, "cancel"), flag(limits, "probes"),
-            flag(limits, "peers"), flag(limits, "retry-after"), number(limits, "max-retry-after", 1.0),
+            integer(limits, "most-tries", 6),
+            number(limits, "connect-timeout", 0.25),
+            flag(limits, "may-duplicate"),
+            flag(limits, "cancel"),
+            flag(limits, "probes"),
+            flag(limits, "peers"),
+            flag(limits, "retry-after"),
+            number(limits, "max-retry-after", 1.0),
         ),
         prices=Prices(
-            number(prices, "cross-zone", 0.0), number(prices, "moves", 0.0),
-            number(prices, "probe", 0.0), number(prices, "peer", 0.0),
+            number(prices, "cross-zone", 0.0),
+            number(prices, "moves", 0.0),
+            number(prices, "probe", 0.0),
+            number(prices, "peer", 0.0),
         ),
     )
--- a/aspensaddle/core/shortage.py
+++ b/aspensaddle/core/shortage.py
@@ -23,8 +23,9 @@
     def __init__(self) -> None:
         self.missing, self.light = 0.0, float("inf")
 
-    def reckon(self, servers: Sequence[tuple[float, float]], connections: int, blind: float, breaks: float,
-               mean: float = 0.0) -> None:
+    def reckon(
+        self, servers: Sequence[tuple[float, float]], connections: int, blind: float, breaks: float, mean: float = 0.0
+    ) -> None:
         """`servers`: listed cores and those of them that are ready and warm, of each, draining and cold ones too.
         `connections`: of the whole fleet, by those here. `blind`: 0 to 1, how little this balancer sees of servers.
         `breaks`: seen of late. `mean`: of loads, cores, 0 where few were told. Cost: O(n)."""
--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -52,16 +52,18 @@
         settings = parse_settings(raw)
         lanes = [as_object(lane, "lanes") for lane in array(raw, "lanes")]
         tenants = [as_object(tenant, "tenants") for tenant in array(raw, "tenants", [])]
-        return _Named(settings, {text(lane, "name"): i for i, lane in enumerate(lanes)},
-                      {text(tenant, "name"): i for i, tenant in enumerate(tenants)},
-                      tuple(str(z) for z in array(raw, "failure-domains", [])))
+        return _Named(
+            settings,
+            {text(lane, "name"): i for i, lane in enumerate(lanes)},
+            {text(tenant, "name"): i for i, tenant in enumerate(tenants)},
+            tuple(str(z) for z in array(raw, "failure-domains", [])),
+        )
     except (DecodeError, ValueError) as e:
         raise DecodeError(f"settings.{e}") from None
 
 
 def _read_limits(m: Message) -> LimitsOfProcess:
-    limits = LimitsOfProcess(
-        number(m, "cores", 1.0), integer(m, "memory_mb", 192), integer(m, "sockets", 1024))
+    limits = LimitsOfProcess(number(m, "cores", 1.0), integer(m, "memory_mb", 192), integer(m, "sockets", 1024))
     if limits.sockets < 64:
         raise DecodeError(f"sockets must be 64 at least, not {limits.sockets}")
     return limits
@@ -89,8 +91,15 @@
     else:
         discovery = parse_address(text(m, "discovery"), "discovery")
     return Config(
-        text(m, "name"), parse_address(text(m, "listen"), "listen"), discovery,
-        stable_hash(str(m.get("seed", "")), 53), limits, known, settings, named.classes, named.tenants,
+        text(m, "name"),
+        parse_address(text(m, "listen"), "listen"),
+        discovery,
+        stable_hash(str(m.get("seed", "")), 53),
+        limits,
+        known,
+        settings,
+        named.classes,
+        named.tenants,
         named.zones,
     )
 
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -28,9 +28,16 @@
 class Reload:
     """Owns the configuration in force; `swap` puts another into the parts that use it."""
 
-    def __init__(self, source: ConfigSource, config: Config, swap: Callable[[Config], None],
-                 counters: Counters, log: Log, stored: Callable[[Config], Config] | None = None,
-                 files: tuple[Prepare, ...] = ()) -> None:
+    def __init__(
+        self,
+        source: ConfigSource,
+        config: Config,
+        swap: Callable[[Config], None],
+        counters: Counters,
+        log: Log,
+        stored: Callable[[Config], Config] | None = None,
+        files: tuple[Prepare, ...] = (),
+    ) -> None:
         self._files = files
         self._source, self.config, self._swap = source, config, swap
         self._counters, self._log, self._stored = counters, log, stored
@@ -44,8 +51,9 @@
             self._counters.add("reloads refused")
             self._log.event("reload refused", why=str(e))
             return
-        changed = [n for n in ("discovery", "limits", "known", "settings")
-                   if getattr(config, n) != getattr(self.config, n)]
+        changed = [
+            n for n in ("discovery", "limits", "known", "settings") if getattr(config, n) != getattr(self.config, n)
+        ]
         self._swap(config)
         self.config = config
         for put_in_force in prepared:
@@ -60,12 +68,12 @@
         """The new configuration as far as it can be put in force, and the fields that need a restart."""
         old = self.config
         # Requests in hand, and the QUIC front, know a class by its number.
-        if list(new.classes.items())[:len(old.classes)] != list(old.classes.items()):
-            raise ConfigError(f"settings.lanes: must begin with {', '.join(old.classes)}; "
-                              "only a restart can remove or reorder them")
+        if list(new.classes.items())[: len(old.classes)] != list(old.classes.items()):
+            raise ConfigError(
+                f"settings.lanes: must begin with {', '.join(old.classes)}; only a restart can remove or reorder them"
+            )
         kept = [n for n in FIXED if getattr(new, n) != getattr(old, n)]
-        kept += [f"settings.{n}" for n in FIXED_SETTINGS
-                 if getattr(new.settings, n) != getattr(old.settings, n)]
+        kept += [f"settings.{n}" for n in FIXED_SETTINGS if getattr(new.settings, n) != getattr(old.settings, n)]
         settings = replace(new.settings, **{n: getattr(old.settings, n) for n in FIXED_SETTINGS})
         new = replace(new, settings=settings, **{n: getattr(old, n) for n in FIXED})
         if (new.discovery is None) != (old.discovery is None):
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -38,8 +38,16 @@
 class Daemon:
     """The services of one process for its balancer."""
 
-    def __init__(self, source: ConfigSource, config: Config, quic: QuicSettings | None, log: Log,
-                 counters: Counters, replica: Replica | None = None, quic_file: Path | None = None) -> None:
+    def __init__(
+        self,
+        source: ConfigSource,
+        config: Config,
+        quic: QuicSettings | None,
+        log: Log,
+        counters: Counters,
+        replica: Replica | None = None,
+        quic_file: Path | None = None,
+    ) -> None:
         self._quic_file = quic_file
         self.config, self.log, self.counters = config, log, counters
         self.fleet = Fleet(config.zones, config.settings.kinds)
@@ -48,21 +56,38 @@
         self.list: Discovery | StoreList | None = None
         if replica is not None and replica.settings.runners:
             from aspensaddle.daemon.stored import StoreList
+
             self.list = StoreList(replica, self.driver, self.fleet, self.counters, log)
         elif config.discovery is not None:
-            self.list = Discovery(config.discovery, self.driver, self.fleet, self.counters, log, config.seed,
-                                  agent=not config.settings.ask_discovery)
+            self.list = Discovery(
+                config.discovery,
+                self.driver,
+                self.fleet,
+                self.counters,
+                log,
+                config.seed,
+                agent=not config.settings.ask_discovery,
+            )
             self.list.rev = config.known.rev
-        self.clients = Clients(_lines(config), self.driver, self.servers, self.fleet, self.counters, log,
-                               reserve=0 if quic is None else quic.most_sockets + 2)
+        self.clients = Clients(
+            _lines(config),
+            self.driver,
+            self.servers,
+            self.fleet,
+            self.counters,
+            log,
+            reserve=0 if quic is None else quic.most_sockets + 2,
+        )
         self.quic: Front | None = None
         if quic is not None:
             # Only where it is on: its libraries are heavy for a platform that does without.
             from aspensaddle.fronts.quic.front import Front
+
             self.quic = Front(quic, self.driver, self.fleet, self.counters, log)
         stored = None
         if replica is not None:
             from aspensaddle.daemon.stored import with_stored
+
             stored = partial(with_stored, replica, log=log)
         self.reload = Reload(source, config, self._swap, counters, log, stored, (self._prepare_quic,))
         self._timer = trio.Event()
@@ -89,8 +114,12 @@
             self._nursery.start_soon(self._keep, self.clients.serve, listener, self._nursery)
             if self.quic is not None:
                 self._nursery.start_soon(self._keep, self.quic.run)
-            self.log.event("started", listen=self.config.listen, rev=self.config.known.rev,
-                           runners=[[t.uid, t.weight, t.model] for t in self.config.known.targets])
+            self.log.event(
+                "started",
+                listen=self.config.listen,
+                rev=self.config.known.rev,
+                runners=[[t.uid, t.weight, t.model] for t in self.config.known.targets],
+            )
             await self._signals(signals, listener)
 
     async def _keep(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
@@ -135,8 +164,9 @@
         if self.quic is not None:
             self.quic.closing = True
         phases = Phases.of(self.config.settings, self.clients.lateness.recent(trio.current_time()))
-        self.log.event("stopping", standing=len(self.clients.standing), placing=len(self.clients.placing),
-                       phases=asdict(phases))
+        self.log.event(
+            "stopping", standing=len(self.clients.standing), placing=len(self.clients.placing), phases=asdict(phases)
+        )
         try:
             await shut_down(self.clients, listener, phases, self._nursery)
         except Exception as e:
@@ -148,8 +178,7 @@
         old, self.config = self.config, config
         self.driver.configure(config.settings)
         self.clients.configure(_lines(config))
-        if isinstance(self.list, Discovery) and config.discovery is not None \
-                and config.discovery != old.discovery:
+        if isinstance(self.list, Discovery) and config.discovery is not None and config.discovery != old.discovery:
             self.list.move(config.discovery)
             if not self.list.watching:
                 self._call(self.list.watch)
@@ -166,9 +195,14 @@
         return lambda: [f"quic.{name}" for name in front.configure(settings)]
 
     def report(self) -> None:
-        self.log.event("counters", standing=len(self.clients.standing), open=self.clients.admission.open,
-                       log_dropped=self.log.dropped, counts=self.counters.report(),
-                       runners={self.fleet.uid(n): b for n, b in self.driver.beliefs().items()})
+        self.log.event(
+            "counters",
+            standing=len(self.clients.standing),
+            open=self.clients.admission.open,
+            log_dropped=self.log.dropped,
+            counts=self.counters.report(),
+            runners={self.fleet.uid(n): b for n, b in self.driver.beliefs().items()},
+        )
 
     # ------------------------------------------------------------ what the driver asks for
 
@@ -214,14 +248,21 @@
     return LinesSettings(config.classes, config.tenants, config.settings, config.limits.sockets)
 
 
-async def serve(source: ConfigSource, config: Config, quic: QuicSettings | None, store: StoreSettings | None,
-                log: Log, quic_file: Path | None = None) -> None:
+async def serve(
+    source: ConfigSource,
+    config: Config,
+    quic: QuicSettings | None,
+    store: StoreSettings | None,
+    log: Log,
+    quic_file: Path | None = None,
+) -> None:
     counters = Counters()
     if store is None:
         await _run(Daemon(source, config, quic, log, counters, quic_file=quic_file))
         return
     from aspensaddle.daemon.stored import stored_settings
     from aspensaddle.store.replica import Replica
+
     replica = Replica(config.name, store, counters)
     replica.bind()
     async with trio.open_nursery() as nursery:
--- a/aspensaddle/fleet/discovery.py
+++ b/aspensaddle/fleet/discovery.py
@@ -67,8 +67,16 @@
 class Discovery:
     """Keeps a watch, and tells the driver what comes."""
 
-    def __init__(self, address: Address, driver: Driver, fleet: Fleet, counters: Counters, log: Log,
-                 seed: int = 0, agent: bool = False) -> None:
+    def __init__(
+        self,
+        address: Address,
+        driver: Driver,
+        fleet: Fleet,
+        counters: Counters,
+        log: Log,
+        seed: int = 0,
+        agent: bool = False,
+    ) -> None:
         self.agent = agent  # of this balancer alone, which costs nothing
         self.address, self.driver, self.fleet = address, driver, fleet
         self.counters, self.log = counters, log
@@ -209,8 +217,12 @@
             self.counters.add("lists passed over")
             return
         if update.targets or update.full:
-            self.log.event("list", rev=update.rev, full=update.full, targets=[
-                [t.uid, t.state.value, t.started_at, t.weight, t.model] for t in update.targets])
+            self.log.event(
+                "list",
+                rev=update.rev,
+                full=update.full,
+                targets=[[t.uid, t.state.value, t.started_at, t.weight, t.model] for t in update.targets],
+            )
         self.counters.add("lists")
         self.driver.servers(update.scope, self.fleet.take(update))
         # After that: a fault on the way must not lose the change for good.
--- a/aspensaddle/fleet/feed.py
+++ b/aspensaddle/fleet/feed.py
@@ -76,8 +76,9 @@
 
     def ask(self) -> bytes:
         host = f"{self._address[0]}:{self._address[1]}"
-        head = self._http.send(h11.Request(method="GET", target=self._target,
-                                           headers=[("Host", host), ("Accept", "application/json")]))
+        head = self._http.send(
+            h11.Request(method="GET", target=self._target, headers=[("Host", host), ("Accept", "application/json")])
+        )
         return (head or b"") + (self._http.send(h11.EndOfMessage()) or b"")
 
     def receive(self, data: bytes) -> Iterator[bytes]:
--- a/aspensaddle/fleet/runners.py
+++ b/aspensaddle/fleet/runners.py
@@ -49,8 +49,15 @@
         than once the last entry holds."""
         entries = []
         for t in update.targets:
-            e = ServerEntry(self.number(t.uid), self._zone(t.zone), t.cell, t.state, t.weight, t.started_at,
-                            self.kinds.index(t.model) if t.model in self.kinds else -1)
+            e = ServerEntry(
+                self.number(t.uid),
+                self._zone(t.zone),
+                t.cell,
+                t.state,
+                t.weight,
+                t.started_at,
+                self.kinds.index(t.model) if t.model in self.kinds else -1,
+            )
             entries.append(e)
             if t.address is not None:
                 self.addresses[e.server] = t.address
--- a/aspensaddle/fleet/update.py
+++ b/aspensaddle/fleet/update.py
@@ -44,14 +44,24 @@
     if not uid:
         raise DecodeError("uid must not be empty")
     # One that left may come without its address.
-    address = None if state is ServerState.GONE and m.get("endpoint") is None else \
-        parse_address(text(m, "endpoint"), "endpoint")
+    address = (
+        None
+        if state is ServerState.GONE and m.get("endpoint") is None
+        else parse_address(text(m, "endpoint"), "endpoint")
+    )
     weight, boot_ms = number(m, "capacity_hint", 1.0), number(m, "boot_ms", 0)
     if not 0 <= weight < 1e9:
         raise DecodeError(f"capacity_hint must be a number from 0 up, not {weight!r:.60}")
-    return Target(uid, address, text(m, "az") if m.get("az") is not None else "", integer(m, "pod_group", 0),
-                  state, float(weight), max(0.0, boot_ms / 1000),
-                  text(m, "model") if m.get("model") is not None else "")
+    return Target(
+        uid,
+        address,
+        text(m, "az") if m.get("az") is not None else "",
+        integer(m, "pod_group", 0),
+        state,
+        float(weight),
+        max(0.0, boot_ms / 1000),
+        text(m, "model") if m.get("model") is not None else "",
+    )
 
 
 def parse_update(m: Message) -> Update:
--- a/aspensaddle/fronts/lines/clients.py
+++ b/aspensaddle/fronts/lines/clients.py
@@ -54,8 +54,16 @@
 
 
 class Clients:
-    def __init__(self, config: LinesSettings, driver: Driver, servers: Servers, fleet: Fleet,
-                 counters: Counters, log: Log, reserve: int = 0) -> None:
+    def __init__(
+        self,
+        config: LinesSettings,
+        driver: Driver,
+        servers: Servers,
+        fleet: Fleet,
+        counters: Counters,
+        log: Log,
+        reserve: int = 0,
+    ) -> None:
         self.driver, self.servers, self.fleet = driver, servers, fleet
         self.counters, self.log = counters, log
         self.lateness = Lateness()
@@ -242,11 +250,20 @@
         if up is None and not answer and pending.unruly:
             answer = b"ERR\r\n"
         why = given.why.value if isinstance(given, Refuse) else None
-        self.log.event("request", id=request.id, key=request.key, cls=request.cls, group=request.group,
-                       again=request.returning, attempts=pending.attempts, left=request.time_left,
-                       at=self.fleet.uid(server) if server >= 0 else None,
-                       ms=round(1000 * (trio.current_time() - start), 1),
-                       answer="UP" if up else answer.decode("latin-1").strip() or "gone", why=why)
+        self.log.event(
+            "request",
+            id=request.id,
+            key=request.key,
+            cls=request.cls,
+            group=request.group,
+            again=request.returning,
+            attempts=pending.attempts,
+            left=request.time_left,
+            at=self.fleet.uid(server) if server >= 0 else None,
+            ms=round(1000 * (trio.current_time() - start), 1),
+            answer="UP" if up else answer.decode("latin-1").strip() or "gone",
+            why=why,
+        )
         if up is not None:
             self.driver.established(request.id)
             return await self._stand(client, pending, opened, server, up)
@@ -258,8 +275,9 @@
     async def _attempt(self, pending: Pending, opened: Opened, send: Send) -> Up | Failed:
         tried: Up | Failed = Failed(Outcome.CANCELLED)
         with pending.attempt:
-            tried = await self.servers.attempt(send.server, opened.first_line, send.timeout,
-                                               lambda: self.driver.may_begin(send.id))
+            tried = await self.servers.attempt(
+                send.server, opened.first_line, send.timeout, lambda: self.driver.may_begin(send.id)
+            )
         return tried
 
     async def _adopt(self, client: Link, opened: Opened, at: str) -> Ending:
@@ -277,15 +295,23 @@
                     if (server := self.fleet.find(at)) is not None:
                         with pending.attempt:
                             tried = await self.servers.attempt(
-                                server, opened.first_line, stop - trio.current_time(), pending.waits)
+                                server, opened.first_line, stop - trio.current_time(), pending.waits
+                            )
                     if isinstance(tried, Failed):
                         with pending.attempt:
                             await trio.sleep(ADOPT_AGAIN)
             finally:
                 del self.placing[request.id]
             nursery.cancel_scope.cancel()
-        self.log.event("adopted", id=request.id, key=request.key, cls=request.cls, group=request.group, at=at,
-                       up=isinstance(tried, Up))
+        self.log.event(
+            "adopted",
+            id=request.id,
+            key=request.key,
+            cls=request.cls,
+            group=request.group,
+            at=at,
+            up=isinstance(tried, Up),
+        )
         if isinstance(tried, Up) and server is not None:
             self.driver.adopted(pending, request, server)
             return await self._stand(client, pending, opened, server, tried)
@@ -295,8 +321,9 @@
         """Pass all lines on until a side ends or the client is moved."""
         id = opened.request.id
         start = trio.current_time()
-        relay = pending.relay = Relay(client, up.link, id, self.driver, self.counters,
-                                      Notes(self.config.settings, self._teller(server), start))
+        relay = pending.relay = Relay(
+            client, up.link, id, self.driver, self.counters, Notes(self.config.settings, self._teller(server), start)
+        )
         self.standing[id] = pending
         self.counters.add("answers UP")
         moved = True
@@ -314,8 +341,13 @@
                 up.link.look()  # guards against a reset, over what the runner says in this moment
                 up.link.close()
         self.counters.add("moved" if moved else f"ended {outcome.label}")
-        self.log.event("ended", id=id, outcome="moved" if moved else outcome.label, load=relay.notes.load,
-                       stood=round(trio.current_time() - start, 3))
+        self.log.event(
+            "ended",
+            id=id,
+            outcome="moved" if moved else outcome.label,
+            load=relay.notes.load,
+            stood=round(trio.current_time() - start, 3),
+        )
         if not moved:
             return Ending(reset=relay.reset)
         self.log.event("moved", id=id, silent=relay.silent)
--- a/aspensaddle/fronts/lines/link.py
+++ b/aspensaddle/fronts/lines/link.py
@@ -91,8 +91,7 @@
 
     def holds(self, words: tuple[bytes, ...]) -> bool:
         """Whether a whole line that has come begins with one of the words."""
-        return bool(self._buffer) and any(
-            line.startswith(words) for line in bytes(self._buffer).split(b"\n")[:-1])
+        return bool(self._buffer) and any(line.startswith(words) for line in bytes(self._buffer).split(b"\n")[:-1])
 
     @property
     def buffered(self) -> int:
@@ -103,7 +102,7 @@
         self.answered = True
         try:
             with suppress(BlockingIOError):
-                data = data[os.write(self.stream.socket.fileno(), data):]
+                data = data[os.write(self.stream.socket.fileno(), data) :]
             if data:
                 await self.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
--- a/aspensaddle/fronts/lines/opening.py
+++ b/aspensaddle/fronts/lines/opening.py
@@ -35,8 +35,9 @@
         return _D.sub(b"d=%d" % max(1, int(wait * 1000)), self.line, count=1)
 
 
-def parse_open(line: bytes, classes: Mapping[str, int], groups: bool,
-               tenants: Mapping[str, int] = MappingProxyType({})) -> Opened:
+def parse_open(
+    line: bytes, classes: Mapping[str, int], groups: bool, tenants: Mapping[str, int] = MappingProxyType({})
+) -> Opened:
     try:
         word, id, key, *rest = line.decode("ascii").rstrip("\r\n").split(" ")
     except (ValueError, UnicodeDecodeError):
@@ -62,9 +63,14 @@
             raise BadOpen("h is not a number in range")
         load = float(hint)
     request = Request(
-        id, cls, int(wait) / 1000 if wait else math.inf, tenants.get(values.get("t", ""), NO_TENANT),
-        key=stable_hash(key, 53), load=load,
+        id,
+        cls,
+        int(wait) / 1000 if wait else math.inf,
+        tenants.get(values.get("t", ""), NO_TENANT),
+        key=stable_hash(key, 53),
+        load=load,
         group=stable_hash(values["g"], 53) if groups and "g" in values else None,
-        repeat=values.get("r") == "1", returning=values.get("again") == "1",
+        repeat=values.get("r") == "1",
+        returning=values.get("again") == "1",
     )
     return Opened(line, request, values.get("at"))
--- a/aspensaddle/fronts/lines/relay.py
+++ b/aspensaddle/fronts/lines/relay.py
@@ -26,8 +26,7 @@
 class Relay:
     """Passes lines between a client and its runner until one side ends or the balancer moves the client."""
 
-    def __init__(self, client: Link, runner: Link, id: str, driver: Driver, counters: Counters,
-                 notes: Notes) -> None:
+    def __init__(self, client: Link, runner: Link, id: str, driver: Driver, counters: Counters, notes: Notes) -> None:
         self.client, self.runner, self.id = client, runner, id
         self.driver, self.counters, self.notes = driver, counters, notes
         self.outcome = Outcome.CANCELLED  # until the runner says or does something else
--- a/aspensaddle/fronts/lines/servers.py
+++ b/aspensaddle/fronts/lines/servers.py
@@ -24,7 +24,10 @@
 
 # What the first word of an answer says of the attempt.
 ANSWERS = {
-    b"UP": Outcome.OK, b"BYE": Outcome.OK, b"MOVE": Outcome.CANCELLED, b"ERR": Outcome.ERROR,
+    b"UP": Outcome.OK,
+    b"BYE": Outcome.OK,
+    b"MOVE": Outcome.CANCELLED,
+    b"ERR": Outcome.ERROR,
     b"BUSY": Outcome.FULL,
 }
 
@@ -79,8 +82,9 @@
         settings = self.driver.settings
         return min(PROBE_LINKS, self.sockets // PROBE_PART) if settings.limits.probes else 0
 
-    async def attempt(self, server: int, first: FirstLine, within: float,
-                      may_begin: Callable[[], bool]) -> Up | Failed:
+    async def attempt(
+        self, server: int, first: FirstLine, within: float, may_begin: Callable[[], bool]
+    ) -> Up | Failed:
         """Offer a request to a runner. Unless it is up, the attempt's connection is closed on return, so that
         none is still out when the next begins."""
         self.counters.add("attempts")
@@ -187,8 +191,13 @@
         runner of a large fleet."""
         for gone in [s for s in self._probed if s not in self.fleet.addresses]:
             self._probed.pop(gone).close()
-        if outcome is Outcome.OK and not link.buffered and server in self.fleet.addresses \
-                and server not in self._probed and len(self._probed) + self._probing < self.descriptors:
+        if (
+            outcome is Outcome.OK
+            and not link.buffered
+            and server in self.fleet.addresses
+            and server not in self._probed
+            and len(self._probed) + self._probing < self.descriptors
+        ):
             self._probed[server] = link
         else:
             link.close()
--- a/aspensaddle/fronts/quic/answers.py
+++ b/aspensaddle/fronts/quic/answers.py
@@ -62,8 +62,9 @@
         reason = b"BUSY %d" % ms if ms > 0 else b"BUSY"
         self.close(keys, version, scid, peer, CONNECTION_REFUSED, reason, "quic refused")
 
-    def close(self, keys: InitialKeys, version: int, scid: bytes, peer: Peer, code: int, reason: bytes,
-              count: str) -> None:
+    def close(
+        self, keys: InitialKeys, version: int, scid: bytes, peer: Peer, code: int, reason: bytes, count: str
+    ) -> None:
         """End a connection that has not begun, in one Initial."""
         if not self._answers.take(self.ctx.now):
             self.ctx.counters.add("quic answers held back")
--- a/aspensaddle/fronts/quic/context.py
+++ b/aspensaddle/fronts/quic/context.py
@@ -36,4 +36,3 @@
     unix: Callable[[], float]  # seconds; what balancers have in common
     now: float = 0.0  # seconds of a clock that only goes forward, told before each step
     closing: bool = False
-
--- a/aspensaddle/fronts/quic/directory.py
+++ b/aspensaddle/fronts/quic/directory.py
@@ -54,14 +54,16 @@
 class Directory:
     """Reads ids by the configurations in force."""
 
-    def __init__(self, configs: Iterable[IdConfig], unroutable_length: int = 0,
-                 before: Directory | None = None) -> None:
+    def __init__(
+        self, configs: Iterable[IdConfig], unroutable_length: int = 0, before: Directory | None = None
+    ) -> None:
         """`unroutable_length`: octets of ids under 0b111 where all runners make them alike; 0 where they don't.
         `before`: the directory that this one replaces, whose runners are remembered as departed."""
         self.configs = {c.format.rotation: c for c in configs}
         # The length of an id by the top three bits of its first octet; 0: not to be told.
-        self.lengths = [self.configs[r].format.length if r in self.configs else 0
-                        for r in range(CODEPOINTS - 1)] + [unroutable_length]
+        self.lengths = [self.configs[r].format.length if r in self.configs else 0 for r in range(CODEPOINTS - 1)] + [
+            unroutable_length
+        ]
         named = {uid for c in self.configs.values() for uid in c.uids.values()}
         self._departed: set[str] = set() if before is None else (before._departed | before.uids) - named
         self.uids: frozenset[str] = frozenset(named)
--- a/aspensaddle/fronts/quic/engine.py
+++ b/aspensaddle/fronts/quic/engine.py
@@ -18,7 +18,13 @@
 from aspensaddle.fronts.quic.flight import Flight
 from aspensaddle.fronts.quic.gate import Gate
 from aspensaddle.fronts.quic.packets import (
-    FIRST_DATAGRAM, LEAST_CHOSEN, VERSIONS, Malformed, Packet, long_packets, parse_invariants,
+    FIRST_DATAGRAM,
+    LEAST_CHOSEN,
+    VERSIONS,
+    Malformed,
+    Packet,
+    long_packets,
+    parse_invariants,
 )
 from aspensaddle.fronts.quic.paths import Paths
 from aspensaddle.fronts.quic.placing import Placements
@@ -34,8 +40,17 @@
 
 
 class Engine:
-    def __init__(self, settings: QuicSettings, driver: Driver, fleet: Fleet, counters: Counters, log: Log,
-                 wire: Wire, unix: Callable[[], float], now: float) -> None:
+    def __init__(
+        self,
+        settings: QuicSettings,
+        driver: Driver,
+        fleet: Fleet,
+        counters: Counters,
+        log: Log,
+        wire: Wire,
+        unix: Callable[[], float],
+        now: float,
+    ) -> None:
         directory = Directory(settings.ids, settings.unroutable_length)
         self.ctx = Context(settings, directory, driver, fleet, counters, log, wire, unix, now)
         self.paths = Paths(self.ctx)
@@ -73,7 +88,7 @@
             return
         sessions = self.sessions
         length = self._lengths[data[1] >> 5]
-        dcid = data[1:1 + length]
+        dcid = data[1 : 1 + length]
         session = sessions.routes.get(dcid)
         if session is not None:
             sessions.forward(session, data, peer, dcid)
@@ -147,10 +162,16 @@
                 self.sessions.chosen.put(packet.dcid, None, ctx.now)
                 self.answers.invalid_token(packet, peer)
                 return
-        runner = ctx.directory.routable(packet.dcid) and \
-            ctx.directory.read(packet.dcid, ctx.unix()).kind is Kind.RUNNER
-        if not proven and not runner and len(packet.dcid) >= LEAST_CHOSEN and self._gate is not None \
-                and self._gate.unproven(ctx.now, self.placements.pending):
+        runner = (
+            ctx.directory.routable(packet.dcid) and ctx.directory.read(packet.dcid, ctx.unix()).kind is Kind.RUNNER
+        )
+        if (
+            not proven
+            and not runner
+            and len(packet.dcid) >= LEAST_CHOSEN
+            and self._gate is not None
+            and self._gate.unproven(ctx.now, self.placements.pending)
+        ):
             self.answers.retry(packet, peer)
             return
         if not self._openings.take(ctx.now):
--- a/aspensaddle/fronts/quic/front.py
+++ b/aspensaddle/fronts/quic/front.py
@@ -22,8 +22,7 @@
 
 
 class Front:
-    def __init__(self, settings: QuicSettings, driver: Driver, fleet: Fleet, counters: Counters,
-                 log: Log) -> None:
+    def __init__(self, settings: QuicSettings, driver: Driver, fleet: Fleet, counters: Counters, log: Log) -> None:
         self.settings, self.counters, self.log = settings, counters, log
         self._driver, self._fleet = driver, fleet
         self._woken, self._armed = trio.Event(), float("inf")
@@ -31,8 +30,16 @@
     def bind(self) -> None:
         """Take the address; raises `OSError` where it can't be had."""
         self.sockets = Sockets(self.settings.listen, self.counters)
-        self.engine = Engine(self.settings, self._driver, self._fleet, self.counters, self.log, self.sockets,
-                             time.time, trio.current_time())
+        self.engine = Engine(
+            self.settings,
+            self._driver,
+            self._fleet,
+            self.counters,
+            self.log,
+            self.sockets,
+            time.time,
+            trio.current_time(),
+        )
         self.sockets.from_client = self._from_client
         self.sockets.from_runner = self._from_runner
         self.sockets.unreachable = self.engine.unreachable
--- a/aspensaddle/fronts/quic/hello.py
+++ b/aspensaddle/fronts/quic/hello.py
@@ -64,11 +64,11 @@
                 raise HelloError("too many pieces of a ClientHello")
             self._apart[offset] = data
             return True
-        self._head += data[len(self._head) - offset:]
+        self._head += data[len(self._head) - offset :]
         for o in sorted(self._apart):
             if o <= len(self._head):
                 piece = self._apart.pop(o)
-                self._head += piece[len(self._head) - o:]
+                self._head += piece[len(self._head) - o :]
         return True
 
     def message(self) -> bytes | None:
--- a/aspensaddle/fronts/quic/ids.py
+++ b/aspensaddle/fronts/quic/ids.py
@@ -46,8 +46,10 @@
         if not 1 <= self.server_id_length <= MOST_SERVER_ID:
             raise ValueError(f"server_id_length must be 1 to {MOST_SERVER_ID}, not {self.server_id_length}")
         if self.nonce_length < LEAST_NONCE or self.length > MOST:
-            raise ValueError(f"nonce_length must be {LEAST_NONCE} at least and the id {MOST} octets at most, "
-                             f"not {self.nonce_length}")
+            raise ValueError(
+                f"nonce_length must be {LEAST_NONCE} at least and the id {MOST} octets at most, "
+                f"not {self.nonce_length}"
+            )
         if self.key is not None:
             if len(self.key) != BLOCK:
                 raise ValueError(f"key must be {BLOCK} octets")
@@ -85,10 +87,10 @@
 
     def decode(self, cid: bytes) -> bytes:
         """The server id in an id that `fits`."""
-        body = cid[1:self.length]
+        body = cid[1 : self.length]
         if self._decryptor is not None:
             body = self._decryptor.update(body) if len(body) == BLOCK else self._passes(body, (4, 3, 2, 1))
-        return body[:self.server_id_length]
+        return body[: self.server_id_length]
 
     def _passes(self, body: bytes, order: tuple[int, int, int, int]) -> bytes:
         """Draft, 5.4.2. Odd passes change the right half by the left one, even passes the other way round, so
--- a/aspensaddle/fronts/quic/initial.py
+++ b/aspensaddle/fronts/quic/initial.py
@@ -41,8 +41,7 @@
         if packet.type is not QuicPacketType.INITIAL:
             return None
         try:
-            _, payload, *_ = self._side(packet.version, from_client).decrypt_packet(
-                packet.data, packet.sealed_at, 0)
+            _, payload, *_ = self._side(packet.version, from_client).decrypt_packet(packet.data, packet.sealed_at, 0)
             return _read_frames(payload)
         except (CryptoError, BufferReadError, ValueError, IndexError):
             return None
@@ -61,9 +60,14 @@
         length = number_length + len(frame) + tag
         header = (
             bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, number_length - 1)])
-            + version.to_bytes(4, "big") + bytes([len(client_scid)]) + client_scid
-            + bytes([len(self.dcid)]) + self.dcid
-            + b"\x00" + (length | 0x4000).to_bytes(2, "big") + bytes(number_length)
+            + version.to_bytes(4, "big")
+            + bytes([len(client_scid)])
+            + client_scid
+            + bytes([len(self.dcid)])
+            + self.dcid
+            + b"\x00"
+            + (length | 0x4000).to_bytes(2, "big")
+            + bytes(number_length)
         )
         return self._side(version, from_client=False).encrypt_packet(header, frame, 0)
 
--- a/aspensaddle/fronts/quic/packets.py
+++ b/aspensaddle/fronts/quic/packets.py
@@ -8,7 +8,11 @@
 from aioquic.buffer import Buffer, BufferReadError
 from aioquic.quic.crypto import CryptoError
 from aioquic.quic.packet import (
-    QuicPacketType, QuicProtocolVersion, encode_quic_version_negotiation, get_retry_integrity_tag, pull_quic_header,
+    QuicPacketType,
+    QuicProtocolVersion,
+    encode_quic_version_negotiation,
+    get_retry_integrity_tag,
+    pull_quic_header,
 )
 
 VERSIONS = (QuicProtocolVersion.VERSION_1, QuicProtocolVersion.VERSION_2)
@@ -81,15 +85,25 @@
         if header.version not in VERSIONS:
             break
         end = header.packet_length
-        packets.append(Packet(header.packet_type, header.version, header.destination_cid, header.source_cid,
-                              header.token, data[:end], buf.tell()))
+        packets.append(
+            Packet(
+                header.packet_type,
+                header.version,
+                header.destination_cid,
+                header.source_cid,
+                header.token,
+                data[:end],
+                buf.tell(),
+            )
+        )
         data = data[end:]
     return packets
 
 
 def version_negotiation(seen: Invariants) -> bytes:
     return encode_quic_version_negotiation(
-        source_cid=seen.dcid, destination_cid=seen.scid, supported_versions=[int(v) for v in VERSIONS])
+        source_cid=seen.dcid, destination_cid=seen.scid, supported_versions=[int(v) for v in VERSIONS]
+    )
 
 
 def stateless_reset(token: bytes, trigger: int) -> bytes | None:
@@ -110,7 +124,12 @@
         seen = parse_invariants(data)
     except Malformed:
         return False
-    offered = data[7 + len(seen.dcid) + len(seen.scid):]
-    versions = {int.from_bytes(offered[i:i + 4], "big") for i in range(0, len(offered) - 3, 4)}
-    return seen.long and seen.version == 0 and (seen.dcid, seen.scid) == (scid, dcid) \
-        and bool(versions) and version not in versions
+    offered = data[7 + len(seen.dcid) + len(seen.scid) :]
+    versions = {int.from_bytes(offered[i : i + 4], "big") for i in range(0, len(offered) - 3, 4)}
+    return (
+        seen.long
+        and seen.version == 0
+        and (seen.dcid, seen.scid) == (scid, dcid)
+        and bool(versions)
+        and version not in versions
+    )
--- a/aspensaddle/fronts/quic/placing.py
+++ b/aspensaddle/fronts/quic/placing.py
@@ -36,8 +36,16 @@
 
     # ------------------------------------------------------------ what the client sends
 
-    def begin(self, data: bytes, peer: Peer, packets: list[Packet], flight: Flight, opened: InitialFrames,
-              original: bytes, proven: bool) -> Session | None:
+    def begin(
+        self,
+        data: bytes,
+        peer: Peer,
+        packets: list[Packet],
+        flight: Flight,
+        opened: InitialFrames,
+        original: bytes,
+        proven: bool,
+    ) -> Session | None:
         """A client opens a connection. `original`: the id that it made up first; `proven`: its address is."""
         packet = packets[0]
         if self.pending >= self.ctx.settings.most_pending or self.sessions.full:
@@ -45,8 +53,16 @@
             self.answers.refuse(flight.keys, packet.version, packet.scid, peer, CLOSING_WAIT)
             return None
         session = self.sessions.new()
-        placing = session.placing = Placing(flight, packet.version, packet.dcid, packet.scid, self.ctx.now,
-                                            original, peer, None if proven else Budget(proof=b""))
+        placing = session.placing = Placing(
+            flight,
+            packet.version,
+            packet.dcid,
+            packet.scid,
+            self.ctx.now,
+            original,
+            peer,
+            None if proven else Budget(proof=b""),
+        )
         self.pending += 1
         self.sessions.chosen.put(packet.dcid, session, self.ctx.now)
         self.ctx.counters.add("quic requests")
@@ -56,8 +72,14 @@
         self.take(session, placing, data, packets, opened)
         return session
 
-    def take(self, session: Session, placing: Placing, data: bytes, packets: list[Packet],
-             opened: InitialFrames | None = None) -> None:
+    def take(
+        self,
+        session: Session,
+        placing: Placing,
+        data: bytes,
+        packets: list[Packet],
+        opened: InitialFrames | None = None,
+    ) -> None:
         """A client's datagram to the id that it made up, while its session is being placed."""
         if placing.budget is not None:
             placing.budget.got(len(data), b"")
@@ -86,9 +108,16 @@
         placing.cls, group = self.ctx.settings.rules.choose(placing.flight.hello or Hello())
         wait = settings.classes[placing.cls].deadline - ANSWER_MARGIN - (self.ctx.now - placing.started)
         placing.timer = 0  # the module's answer comes in time
-        self.ctx.driver.request(session, Request(
-            session.id, placing.cls, wait, key=stable_hash(placing.original, 53),
-            group=stable_hash(group, 53) if group and settings.groups else None))
+        self.ctx.driver.request(
+            session,
+            Request(
+                session.id,
+                placing.cls,
+                wait,
+                key=stable_hash(placing.original, 53),
+                group=stable_hash(group, 53) if group and settings.groups else None,
+            ),
+        )
 
     def settle(self) -> None:
         """Carry out what the module has decided, as long as it decides more in answer."""
@@ -286,7 +315,13 @@
     def _over(self, session: Session, placing: Placing, placed: bool) -> None:
         self.pending -= 1
         placing.timer = 0
-        self.ctx.log.event("quic request", id=session.id, cls=placing.cls, attempts=placing.attempts,
-                           placed=placed, ms=round(1000 * (self.ctx.now - placing.started), 1))
+        self.ctx.log.event(
+            "quic request",
+            id=session.id,
+            cls=placing.cls,
+            attempts=placing.attempts,
+            placed=placed,
+            ms=round(1000 * (self.ctx.now - placing.started), 1),
+        )
         if not placed:
             self.sessions.drop(session)
--- a/aspensaddle/fronts/quic/sessions.py
+++ b/aspensaddle/fronts/quic/sessions.py
@@ -227,4 +227,3 @@
                 for path in list(session.others or ()):
                     if now - path.used > idle:
                         self.paths.close(path)
-
--- a/aspensaddle/fronts/quic/settings.py
+++ b/aspensaddle/fronts/quic/settings.py
@@ -20,9 +20,26 @@
     from aspensaddle.fronts.quic.rules import Rules
     from aspensaddle.fronts.quic.tokens import TokenKey, Tokens
 
-KEYS = {"enabled", "listen", "class", "rules", "reset_key", "ids", "runners", "retry", "runner_port",
-        "unroutable_length", "idle_s", "reply_within_s", "initial_s", "most_sessions", "most_pending",
-        "most_sockets", "answers_per_s", "adopted_per_s"}
+KEYS = {
+    "enabled",
+    "listen",
+    "class",
+    "rules",
+    "reset_key",
+    "ids",
+    "runners",
+    "retry",
+    "runner_port",
+    "unroutable_length",
+    "idle_s",
+    "reply_within_s",
+    "initial_s",
+    "most_sessions",
+    "most_pending",
+    "most_sockets",
+    "answers_per_s",
+    "adopted_per_s",
+}
 ID_KEYS = {"rotation", "server_id_length", "nonce_length", "key", "self_length", "retire_at", "runners"}
 RETRY_KEYS = {"above_per_s", "keys", "lifetime_s", "answers_per_s"}
 TOKEN_KEYS = {"sequence", "key", "since", "until"}
@@ -69,6 +86,7 @@
     if not flag(m, "enabled"):
         return None
     from aspensaddle.fronts.quic.rules import parse_rules
+
     _known(m, KEYS)
     name = text(m, "class")
     if name not in classes:
@@ -80,8 +98,11 @@
     if 0 < unroutable < LEAST_UNROUTABLE:
         raise DecodeError(f"unroutable_length must be 0 or {LEAST_UNROUTABLE} to {MOST_ID}, not {unroutable}")
     settings = QuicSettings(
-        parse_address(text(m, "listen"), "listen"), parse_rules(m, classes, classes[name]), reset_key,
-        _parse_ids(m), _parse_retry(m, folder),
+        parse_address(text(m, "listen"), "listen"),
+        parse_rules(m, classes, classes[name]),
+        reset_key,
+        _parse_ids(m),
+        _parse_retry(m, folder),
         runner_port=_whole(m, "runner_port", 0, 0, 65535),
         unroutable_length=unroutable,
         idle_s=_positive(m, "idle_s", 30.0),
@@ -109,8 +130,9 @@
         try:
             configs.append(_parse_config(as_object(value, "ids"), shared))
         except (DecodeError, ValueError) as e:
-            raise DecodeError(str(e) if str(e).startswith("runners.") and "runners" not in value
-                              else f"ids[{i}].{e}") from None
+            raise DecodeError(
+                str(e) if str(e).startswith("runners.") and "runners" not in value else f"ids[{i}].{e}"
+            ) from None
     if not configs:
         raise DecodeError("ids must hold one configuration at least")
     seen: set[int] = set()
@@ -124,9 +146,15 @@
 def _parse_config(m: Message, shared: Message) -> IdConfig:
     from aspensaddle.fronts.quic.directory import IdConfig
     from aspensaddle.fronts.quic.ids import IdFormat
+
     _known(m, ID_KEYS)
-    form = IdFormat(integer(m, "rotation"), integer(m, "server_id_length"), integer(m, "nonce_length"),
-                    _hex(m, "key") if m.get("key") is not None else None, flag(m, "self_length"))
+    form = IdFormat(
+        integer(m, "rotation"),
+        integer(m, "server_id_length"),
+        integer(m, "nonce_length"),
+        _hex(m, "key") if m.get("key") is not None else None,
+        flag(m, "self_length"),
+    )
     table = obj(m, "runners", shared)
     if len(table) > MOST_RUNNERS:
         raise DecodeError(f"runners must be {MOST_RUNNERS} at most, not {len(table)}")
@@ -137,8 +165,10 @@
         for one in value if type(value) is list else [value]:
             server_id = _hex({uid: one}, uid, "runners.")
             if len(server_id) != form.server_id_length:
-                raise DecodeError(f"runners.{uid} must be {form.server_id_length} octets, as server_id_length "
-                                  f"of rotation {form.rotation} says, not {len(server_id)}")
+                raise DecodeError(
+                    f"runners.{uid} must be {form.server_id_length} octets, as server_id_length "
+                    f"of rotation {form.rotation} says, not {len(server_id)}"
+                )
             if server_id in uids:
                 raise DecodeError(f"runners.{uid} has the server id of {uids[server_id]}")
             uids[server_id] = uid
@@ -171,6 +201,7 @@
 def parse_token_keys(m: Message, lifetime: float) -> Tokens:
     """The key file of the Retry service, which balancers and runners share."""
     from aspensaddle.fronts.quic.tokens import Tokens
+
     _known(m, {"keys"})
     keys = []
     for i, value in enumerate(array(m, "keys")):
@@ -188,9 +219,11 @@
 
 def _parse_key(m: Message) -> TokenKey:
     from aspensaddle.fronts.quic.tokens import TokenKey
+
     _known(m, TOKEN_KEYS)
-    return TokenKey(integer(m, "sequence"), _hex(m, "key"), _time(m, "since", 0.0) or 0.0,
-                    _time(m, "until", None) or float("inf"))
+    return TokenKey(
+        integer(m, "sequence"), _hex(m, "key"), _time(m, "since", 0.0) or 0.0, _time(m, "until", None) or float("inf")
+    )
 
 
 # ---------------------------------------------------------------- values
@@ -214,8 +247,9 @@
     if value is None:
         return default
     if not isinstance(value, datetime.datetime) or value.tzinfo is None:
-        raise DecodeError(f"{name} must be a date and time with its offset, such as 2026-12-01T18:00:00Z, "
-                          f"not {value!s:.60}")
+        raise DecodeError(
+            f"{name} must be a date and time with its offset, such as 2026-12-01T18:00:00Z, not {value!s:.60}"
+        )
     return value.timestamp()
 
 
--- a/aspensaddle/fronts/quic/sockets.py
+++ b/aspensaddle/fronts/quic/sockets.py
@@ -148,5 +148,3 @@
                 return
             if runner:
                 self.unreachable(slot, runner[:2])
-
-
--- a/aspensaddle/fronts/quic/tokens.py
+++ b/aspensaddle/fronts/quic/tokens.py
@@ -94,8 +94,12 @@
             return None
         key = max(ready, key=lambda k: (k.since, k.sequence))
         head = bytes([SERVICE | key.sequence]) + os.urandom(NONCE)
-        body = HEAD.pack(len(original), len(retry_id), port, _packed(host)) + original + retry_id \
+        body = (
+            HEAD.pack(len(original), len(retry_id), port, _packed(host))
+            + original
+            + retry_id
             + TIME.pack(int(unix * 1000))
+        )
         return head + self._keys[key.sequence][1].encrypt(head[1:], body, head)
 
     def read(self, token: bytes, unix: float) -> Proof | None:
@@ -106,15 +110,15 @@
         known = self._keys.get(token[0] & MOST_SEQUENCE)
         if known is None or not known[0].since - AHEAD <= unix < known[0].until + self.lifetime:
             return None
-        head = token[:1 + NONCE]
+        head = token[: 1 + NONCE]
         try:
-            body = known[1].decrypt(head[1:], token[1 + NONCE:], head)
+            body = known[1].decrypt(head[1:], token[1 + NONCE :], head)
         except InvalidTag:
             return None
         first, second, port, address = HEAD.unpack_from(body)
         if len(body) != HEAD.size + first + second + TIME.size:
             return None
-        ids, (at,) = body[HEAD.size:-TIME.size], TIME.unpack(body[-TIME.size:])
+        ids, (at,) = body[HEAD.size : -TIME.size], TIME.unpack(body[-TIME.size :])
         return Proof(ids[:first], ids[first:], at / 1000, port, address)
 
     def check(self, token: bytes, host: str, port: int, dcid: bytes, unix: float) -> tuple[Verdict, Proof | None]:
--- a/aspensaddle/importer/nginx.py
+++ b/aspensaddle/importer/nginx.py
@@ -131,8 +131,13 @@
         if not re.fullmatch(r"[0-9.]+|\[?[0-9a-fA-F:]+\]?", address.rpartition(":")[0]):
             self.problem(d, f"server: {address} is a name, and there is no DNS: an address is needed")
             return
-        target: Message = {"uid": address, "endpoint": address.replace("[", "").replace("]", ""),
-                           "state": "active", "capacity_hint": 1.0, "boot_ms": 0}
+        target: Message = {
+            "uid": address,
+            "endpoint": address.replace("[", "").replace("]", ""),
+            "state": "active",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
         for option in options:
             key, _, value = option.partition("=")
             if key == "weight" and value.isascii() and value.isdigit() and int(value) > 0:
@@ -195,9 +200,14 @@
     names = list(dict.fromkeys(location.upstream for location in used))
     if wanted is None and len(names) > 1:
         other = next(location for location in used if location.upstream != names[0])
-        reader.problems.append(Problem(
-            other.file, other.line, f"location: passes to {other.upstream}, others to {names[0]}; "
-            "one program serves one upstream: choose with --upstream"))
+        reader.problems.append(
+            Problem(
+                other.file,
+                other.line,
+                f"location: passes to {other.upstream}, others to {names[0]}; "
+                "one program serves one upstream: choose with --upstream",
+            )
+        )
         return {}
     chosen = wanted or (names[0] if names else "")
     mine = [location for location in used if location.upstream == chosen]
@@ -211,19 +221,33 @@
         if key in lanes:
             reader.problems.append(Problem(location.file, location.line, f"location: a second class {key}"))
         if (location.connect, location.tries) != (first.connect, first.tries):
-            reader.problems.append(Problem(
-                location.file, location.line, "location: proxy_connect_timeout and proxy_next_upstream_tries "
-                f"must be as at line {first.line}: the program has one of each"))
+            reader.problems.append(
+                Problem(
+                    location.file,
+                    location.line,
+                    "location: proxy_connect_timeout and proxy_next_upstream_tries "
+                    f"must be as at line {first.line}: the program has one of each",
+                )
+            )
         deadline = location.deadline or location.connect
         lanes[key] = {"name": key, "aim": deadline, "deadline": deadline, "repeat": "pure", "worth": 1.0}
     return {
-        "name": name, "listen": reader.listen or "127.0.0.1:8000",
+        "name": name,
+        "listen": reader.listen or "127.0.0.1:8000",
         "known": {"rev": 0, "all": True, "targets": reader.upstreams[chosen].targets},
         "settings": {
-            "discovery": "pushed", "weights": "nominal", "fleet-size": 1, "failure-domains": [""],
+            "discovery": "pushed",
+            "weights": "nominal",
+            "fleet-size": 1,
+            "failure-domains": [""],
             "lanes": list(lanes.values()),
-            "limits": {"connect-timeout": first.connect, "most-tries": first.tries or MOST_TRIES,
-                       "retry-after": True, "max-retry-after": 1.0, "cancel": True},
+            "limits": {
+                "connect-timeout": first.connect,
+                "most-tries": first.tries or MOST_TRIES,
+                "retry-after": True,
+                "max-retry-after": 1.0,
+                "cancel": True,
+            },
         },
     }
 
@@ -233,8 +257,9 @@
     payload: dict[str, Any] = crossplane.parse(path, combine=True, check_ctx=False, check_args=False)
     reader = Reader()
     for error in payload["errors"]:
-        reader.problems.append(Problem(error["file"], error.get("line") or 0, re.sub(
-            r" in \S+:\d+$", "", str(error["error"]))))
+        reader.problems.append(
+            Problem(error["file"], error.get("line") or 0, re.sub(r" in \S+:\d+$", "", str(error["error"])))
+        )
     for part in payload["config"]:
         reader.read(part["parsed"])
     reader.finish()
--- a/aspensaddle/store/__main__.py
+++ b/aspensaddle/store/__main__.py
@@ -59,8 +59,11 @@
 
 
 def main(argv: list[str]) -> int:
-    if len(argv) < 2 or argv[1] not in ARGUMENTS or not \
-            ARGUMENTS[argv[1]][0] <= len(argv) - 2 <= ARGUMENTS[argv[1]][1]:
+    if (
+        len(argv) < 2
+        or argv[1] not in ARGUMENTS
+        or not ARGUMENTS[argv[1]][0] <= len(argv) - 2 <= ARGUMENTS[argv[1]][1]
+    ):
         print(__doc__, file=sys.stderr)
         return 2
     try:
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -25,8 +25,13 @@
 
 
 class Replica:
-    def __init__(self, node: str, settings: StoreSettings, counters: Counters,
-                 changed: Callable[[list[Entry]], None] = lambda entries: None) -> None:
+    def __init__(
+        self,
+        node: str,
+        settings: StoreSettings,
+        counters: Counters,
+        changed: Callable[[list[Entry]], None] = lambda entries: None,
+    ) -> None:
         self.node, self.settings, self.counters, self.changed = node, settings, counters, changed
         self.state = State(node, unix_ms)
         self.agreed: set[str] = set()  # peers whose sums were this replica's own when last heard
--- a/aspensaddle/store/state.py
+++ b/aspensaddle/store/state.py
@@ -64,8 +64,7 @@
         return entry.value if entry is not None else None
 
     def values(self, prefix: str) -> dict[str, str]:
-        return {k: e.value for k, e in sorted(self.entries.items())
-                if k.startswith(prefix) and e.value is not None}
+        return {k: e.value for k, e in sorted(self.entries.items()) if k.startswith(prefix) and e.value is not None}
 
     def put(self, key: str, value: str | None) -> Entry:
         """Write here; None removes."""
@@ -102,7 +101,8 @@
         if not 0 < entry.version <= self._clock() + AHEAD:
             raise StoreError(f"version: {entry.version} is not near this clock")
         if entry.key not in self.entries and (
-                len(self.entries) >= MOST_KEYS or len(self._buckets[bucket_of(entry.key)]) >= MOST_IN_BUCKET):
+            len(self.entries) >= MOST_KEYS or len(self._buckets[bucket_of(entry.key)]) >= MOST_IN_BUCKET
+        ):
             raise StoreError("key: no room for another")
 
     def _set(self, entry: Entry) -> None:
--- a/aspensaddle/support/files.py
+++ b/aspensaddle/support/files.py
@@ -86,5 +86,5 @@
     while field:
         if field in lines:
             return lines[field]
-        field = field[:max(field.rfind("."), field.rfind("["), 0)]
+        field = field[: max(field.rfind("."), field.rfind("["), 0)]
     return 0
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -40,8 +40,11 @@
         self.event(event, **fields, passed_over=passed)
 
     def event(self, event: str, **fields: Any) -> None:
-        line = orjson.dumps({"t": round(time.time(), 4), "name": self.name, "event": event, **fields},
-                            default=str, option=orjson.OPT_APPEND_NEWLINE)
+        line = orjson.dumps(
+            {"t": round(time.time(), 4), "name": self.name, "event": event, **fields},
+            default=str,
+            option=orjson.OPT_APPEND_NEWLINE,
+        )
         try:
             self._queue.put_nowait(line)
         except queue.Full:
@@ -59,7 +62,7 @@
         while (line := self._queue.get()) is not None:
             while line:
                 try:
-                    line = line[os.write(self._fd, line):]
+                    line = line[os.write(self._fd, line) :]
                 except OSError:  # the reader is gone: the balancer goes on without a log
                     self.dropped += 1
                     break
--- a/tests/test_quic_guards.py
+++ b/tests/test_quic_guards.py
@@ -38,7 +38,7 @@
     tokens = Tokens([A], 10.0)
     token = tokens.seal(*HERE, b"original", b"retry-id", 1000.0)
     at %= len(token)
-    assert check(tokens, token[:at] + bytes([token[at] ^ change]) + token[at + 1:]) is Verdict.NONE
+    assert check(tokens, token[:at] + bytes([token[at] ^ change]) + token[at + 1 :]) is Verdict.NONE
     assert check(tokens, token[:at]) is Verdict.NONE
     assert check(tokens, garbage) is Verdict.NONE
 
@@ -69,7 +69,7 @@
     assert all(gate.unproven(7 + i / 40, 0) for i in range(200))  # 40 a second: not yet calm
     slow = [gate.unproven(12 + i / 10, 0) for i in range(100)]
     opened = slow.index(False) / 10
-    assert CALM <= opened <= CALM + 1.5 and not any(slow[slow.index(False):])
+    assert CALM <= opened <= CALM + 1.5 and not any(slow[slow.index(False) :])
 
 
 def test_the_gate_closes_for_too_many_that_are_being_placed_or_always_or_never():
