--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -14,12 +14,12 @@
 import pytest
 from helpers import SETTINGS, Driver, entry
 
-from aspensaddle.core import balance
-from aspensaddle.core.interface import ServerState
+from aspensaddle.core import balancer as balance
+from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.daemon.stored import runners_update
-from aspensaddle.fleet.runners import Fleet
-from aspensaddle.fleet.update import parse_update
+from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_update import parse_update
 from aspensaddle.store.settings import parse_store
 from aspensaddle.store.state import State
 
@@ -60,11 +60,11 @@
     )
     fleet = Fleet(config.zones)
     d = Driver(list(fleet.take(config.known)), config.settings)
-    assert len(d.b.servers) == len(fleet.addresses) == MANY and config.settings.balancers == MANY
+    assert len(d.b.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
     changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
-    d.list(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
+    d.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
     assert len(d.b.servers) == len(fleet.addresses) == MANY
-    assert fleet.uid(d.place(load=0.05).server) >= f"s-{MANY:08x}"
+    assert fleet.uid(d.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
 
 
 def test_the_store_keeps_as_many_of_both_and_removed_ones():
@@ -107,14 +107,14 @@
     """A group that comes often looks at as many servers as its share of what came asks for."""
     cost: dict[int, list[int]] = {}
     for servers in (10, 1000):
-        d = Driver(servers, replace(SETTINGS, balancers=230, groups=True))
+        d = Driver(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
         for n in range(5):
-            d.place(load=0.05, group=n)
+            d.place(load_hint=0.05, session_group=n)
         d.tick()
         cost[servers] = [
-            lines_run(partial(d.place, load=0.05, group=group)),
+            lines_run(partial(d.place, load_hint=0.05, session_group=group)),
             lines_run(d.tick),
-            lines_run(partial(d.list, entry(1, state=ServerState.DRAINING))),
+            lines_run(partial(d.update_endpoints, entry(1, state=ServerState.DRAINING))),
         ]
     request, tick, change = zip(cost[10], cost[1000], strict=True)
     assert request[1] <= growth * request[0]
@@ -124,9 +124,9 @@
 def test_a_thousand_servers_fit_into_a_small_part_of_the_memory_that_is_given():
     tracemalloc.start()
     try:
-        d = Driver(1000, replace(SETTINGS, balancers=1000, groups=True))
+        d = Driver(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
         for n in range(200):
-            d.place(load=0.05, group=n % 40)
+            d.place(load_hint=0.05, session_group=n % 40)
         assert tracemalloc.get_traced_memory()[1] < 16 << 20  # of 80 MB
     finally:
         tracemalloc.stop()
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -10,8 +10,8 @@
 import pytest
 from standins import SETTINGS
 
-from aspensaddle.core.machines import load_machines
-from aspensaddle.simlink.host import Host
+from aspensaddle.core.machine_types import load_machines
+from aspensaddle.simulator_adapter.host import Host
 from aspensaddle.support.files import ConfigError
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -3,15 +3,16 @@
 import pytest
 from helpers import Driver, entry
 
-from aspensaddle.core.balance import DELTA, SLOTS
-from aspensaddle.core.interface import ListScope, Outcome, Send, ServerState
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.core.balancer import DELTA, SLOTS
+from aspensaddle.core.events import EndpointUpdateScope, Outcome, ServerState
 
 
 def ratios(d: Driver) -> dict[int, float]:
     return {s.id: s.ratio + d.b.raised for s in d.b.servers.values() if s.ready}
 
 
-def fail_on(d: Driver, server: int, outcome: Outcome = Outcome.FULL) -> None:
+def fail_on(d: Driver, server: int, outcome: Outcome = Outcome.REJECTED) -> None:
     """One send to a server that does not accept it."""
     d.b._count(d.b.servers[server], False)
 
@@ -69,10 +70,10 @@
 
 def test_joining_servers_enter_at_the_mean_and_leaving_ones_rescale():
     d = Driver(2)
-    d.list(entry(3), entry(4))
+    d.update_endpoints(entry(3), entry(4))
     assert ratios(d) == {n: pytest.approx(0.25) for n in (1, 2, 3, 4)}
     d.gone(4)
-    d.list(entry(3, state=ServerState.DRAINING))
+    d.update_endpoints(entry(3, state=ServerState.DRAINING))
     assert ratios(d) == {1: pytest.approx(0.5), 2: pytest.approx(0.5)}
 
 
@@ -90,7 +91,7 @@
     firsts = set()
     for seed in range(20):
         (send,) = Driver(4, seed=seed).ask()
-        assert isinstance(send, Send)
+        assert isinstance(send, StartAttempt)
         firsts.add(send.server)
     assert firsts == {1, 2, 3, 4}
 
@@ -106,8 +107,8 @@
 
 def test_rotation_counts_load_not_connections():
     d = Driver(2)
-    heavy = d.place(load=9.0)
-    light = [d.place(load=1.0).server for _ in range(8)]
+    heavy = d.place(load_hint=9.0)
+    light = [d.place(load_hint=1.0).server for _ in range(8)]
     assert heavy.server not in light
 
 
@@ -119,5 +120,5 @@
 
 def test_full_list_removes_what_it_does_not_name():
     d = Driver(3)
-    d.list(entry(1), entry(2), scope=ListScope.FULL)
+    d.update_endpoints(entry(1), entry(2), scope=EndpointUpdateScope.COMPLETE)
     assert {d.place().server for _ in range(6)} == {1, 2}
--- a/tests/test_notes.py
+++ b/tests/test_notes.py
@@ -7,10 +7,10 @@
 from test_driver import World
 from test_relay import relay
 
-from aspensaddle.core.interface import Send
-from aspensaddle.fronts.lines.notes import Delay, Load, Notes, Teller
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.frontends.line_protocol.notes import Delay, Load, Notes, Teller
 
-TELLS = replace(SETTINGS, tells_delay=True)  # deadlines of 3 s, message aims of 0.06 s
+TELLS = replace(SETTINGS, servers_report_latency=True)  # deadlines of 3 s, message aims of 0.06 s
 
 
 def told(settings, *figures):
@@ -68,7 +68,7 @@
 def test_a_runner_that_says_it_is_slow_gets_nothing_new():
     w = World(settings=TELLS)
     first = w.ask("first").actions[-1]
-    assert isinstance(first, Send)
-    w.driver.established("first")
-    w.driver.delay("first", 0.4)
+    assert isinstance(first, StartAttempt)
+    w.driver.connection_established("first")
+    w.driver.server_latency_reported("first", 0.4)
     assert all(w.ask(f"r{i}").actions[-1].server != first.server for i in range(20))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.core.interface import ServerState
+from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
-from aspensaddle.fleet.runners import Fleet
-from aspensaddle.fleet.update import parse_update
-from aspensaddle.fronts.lines.clients import BadOpen, parse_open
-from aspensaddle.support.decode import DecodeError
+from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.frontends.line_protocol.clients import BadOpen, parse_open
 from aspensaddle.support.files import load_json
 from aspensaddle.support.hashing import stable_hash
+from aspensaddle.support.json_fields import DecodeError
 
 CLASSES = {"test-run": 0, "draft-save": 1}
 OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=draft-save,d=2000,h=0.5,r=1,g=5c0f6e1a2b3d4c59,again=1\r\n"
@@ -71,11 +71,21 @@
 def test_open_is_read_and_only_d_is_written_anew():
     opened = parse_open(OPEN, CLASSES, groups=True)
     r = opened.request
-    assert (r.id, r.cls, r.time_left, r.load, r.repeat, r.returning) == ("9b1f03aa5c7e2d41", 1, 2.0, 0.5, True, True)
+    assert (r.request_id, r.class_index, r.time_left, r.load_hint, r.retried_by_client, r.reconnecting) == (
+        "9b1f03aa5c7e2d41",
+        1,
+        2.0,
+        0.5,
+        True,
+        True,
+    )
     assert opened.first_line(0.7504) == OPEN.replace(b"d=2000", b"d=750")
     again = parse_open(OPEN.replace(b"9b1f", b"0000"), CLASSES, groups=True).request
-    assert (again.key, again.group) == (r.key, r.group) and r.key != r.group
-    assert parse_open(OPEN, CLASSES, groups=False).request.group is None
+    assert (again.affinity_key, again.session_group) == (
+        r.affinity_key,
+        r.session_group,
+    ) and r.affinity_key != r.session_group
+    assert parse_open(OPEN, CLASSES, groups=False).request.session_group is None
     # a name that ends in d, or a d within a value, is not the wait
     line = b"OPEN i k c=test-run,end=5,d=9,x=d=1\r\n"
     assert parse_open(line, CLASSES, True).first_line(1.0) == line.replace(b",d=9", b",d=1000")
@@ -87,8 +97,8 @@
         opened = parse_open(mutate(OPEN, change), CLASSES, groups=True)
     except BadOpen:
         return
-    assert opened.request.cls in (0, 1) and opened.request.time_left >= 0
-    assert opened.request.load is None or 0 <= opened.request.load < 1e9
+    assert opened.request.class_index in (0, 1) and opened.request.time_left >= 0
+    assert opened.request.load_hint is None or 0 <= opened.request.load_hint < 1e9
 
 
 @given(st.binary(max_size=200))
@@ -130,7 +140,8 @@
     assert [fleets[0].number(u) for u in "abc"] == [fleets[1].number(u) for u in "abc"]
     # two uids with one hash
     monkeypatch.setattr(
-        "aspensaddle.fleet.runners.stable_hash", lambda text, bits: 7 if "#" not in text else stable_hash(text, bits)
+        "aspensaddle.discovery.endpoint_registry.stable_hash",
+        lambda text, bits: 7 if "#" not in text else stable_hash(text, bits),
     )
     fleet = Fleet(())
     assert len({fleet.number(u) for u in "abc"}) == 3 and fleet.number("a") == 7
@@ -138,8 +149,8 @@
 
 def test_a_model_is_told_by_its_place_among_the_kinds():
     update = parse_update(load_json(LIST.replace(b"m2", b"fast")))
-    assert [e.kind for e in Fleet((), ("plain", "fast")).take(update)] == [1, 1]
-    assert [e.kind for e in Fleet(()).take(update)] == [-1, -1]
+    assert [e.machine_type for e in Fleet((), ("plain", "fast")).take(update)] == [1, 1]
+    assert [e.machine_type for e in Fleet(()).take(update)] == [-1, -1]
 
 
 def test_a_whole_list_forgets_who_is_not_in_it():
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -90,13 +90,13 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        (b"BUSY\r\n", "full"),
+        (b"BUSY\r\n", "rejected"),
         (b"ERR\r\n", "error"),
         (b"MOVE\r\n", "cancelled"),
         (b"\xff\r\n", "error"),
-        (b"x" * 5000, "broken"),
-        (b"half", "broken"),
-        (b"LOAD 5\r\nBUSY\r\n", "full"),
+        (b"x" * 5000, "connection_lost"),
+        (b"half", "connection_lost"),
+        (b"LOAD 5\r\nBUSY\r\n", "rejected"),
     ],
 )
 def test_an_attempt_that_fails_is_told_as_what_it_was_and_tried_elsewhere(world, answer, outcome):
@@ -145,8 +145,8 @@
         assert answer.startswith(b"BUSY ") and 0 < int(answer[5:]) <= 1000
         assert c.line() == b""
     assert len(w.runners[0].first_lines) <= 6
-    assert w.program.counts()["refused: attempts spent"] == 1
-    assert w.program.events("request")[0]["why"] == "attempts spent"
+    assert w.program.counts()["refused: attempts_exhausted"] == 1
+    assert w.program.events("request")[0]["why"] == "attempts_exhausted"
 
 
 def test_a_silent_runner_is_given_up_before_the_client_gives_up(world):
@@ -155,7 +155,7 @@
         start = time.monotonic()
         assert c.open("c=test-run,d=600").startswith(b"BUSY ")
         assert time.monotonic() - start > 0.3  # it was waited for
-    assert w.program.counts()["attempts timed out"] == 1
+    assert w.program.counts()["attempts timed_out"] == 1
 
 
 @pytest.mark.parametrize(
@@ -305,8 +305,8 @@
     for body, field in (
         ("{", "not JSON"),
         ("{}", "settings"),
-        ('{"settings": {"lanes": [{}]}}', "settings.aim"),
-        (json.dumps({"settings": {"lanes": []}, "name": "n"}), "settings.classes"),
+        ('{"settings": {"lanes": [{}]}}', "settings.lanes[0].aim"),
+        (json.dumps({"settings": {"lanes": []}, "name": "n"}), "settings.lanes"),
     ):
         path.write_text(body)
         assert field in start(LB_CONFIG=str(path))
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -9,7 +9,7 @@
 import pytest
 
 from aspensaddle.conformance import suite
-from aspensaddle.fronts.quic.tokens import Verdict
+from aspensaddle.frontends.quic.tokens import Verdict
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -37,32 +37,32 @@
 def test_all_cases_against_the_engine_for_several_seeds():
     for seed in range(3):
         results = suite.run(suite.load(), memory=True, seed=seed, jobs=2)
-        assert [(r.name, r.why) for r in results if r.verdict == "failed"] == []
+        assert [(r.name, r.reason) for r in results if r.verdict == "failed"] == []
     assert len({r.section.split("-")[0] for r in results} & {"8999", "9000", "9001", "9369", "lb"}) == 5
 
 
 def unbounded(monkeypatch):
-    monkeypatch.setattr("aspensaddle.fronts.quic.session.Budget.spend", lambda *args: True)
+    monkeypatch.setattr("aspensaddle.frontends.quic.session.Budget.spend", lambda *args: True)
 
 
 def forgetful(monkeypatch):
-    monkeypatch.setattr("aspensaddle.fronts.quic.tables.Expiring.has", lambda *args: False)
+    monkeypatch.setattr("aspensaddle.frontends.quic.tables.Expiring.has", lambda *args: False)
 
 
 def trusting(monkeypatch):
     monkeypatch.setattr(
-        "aspensaddle.fronts.quic.tokens.Tokens.check",
+        "aspensaddle.frontends.quic.tokens.Tokens.check",
         lambda tokens, token, host, port, dcid, unix: (Verdict.VALID, tokens.read(token, unix)),
     )
 
 
 def sticky(monkeypatch):
-    monkeypatch.setattr("aspensaddle.core.driver.Driver.may_begin", lambda *args: True)
-    monkeypatch.setattr("aspensaddle.core.driver.Driver.servers", lambda *args: None)
+    monkeypatch.setattr("aspensaddle.core.driver.Driver.may_start_attempt", lambda *args: True)
+    monkeypatch.setattr("aspensaddle.core.driver.Driver.update_endpoints", lambda *args: None)
 
 
 def half_read(monkeypatch):
-    monkeypatch.setattr("aspensaddle.fronts.quic.ids.IdFormat.fits", lambda form, cid: len(cid) == 17)
+    monkeypatch.setattr("aspensaddle.frontends.quic.ids.IdFormat.fits", lambda form, cid: len(cid) == 17)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quic_engine.py
+++ b/tests/test_quic_engine.py
@@ -13,8 +13,9 @@
 from aspensaddle.conformance import craft
 from aspensaddle.conformance.bed import Bed, Spec
 from aspensaddle.conformance.link import Link
-from aspensaddle.core.interface import ListScope, Move, Outcome, ServerEntry, ServerState
-from aspensaddle.fronts.quic.initial import CONNECTION_REFUSED
+from aspensaddle.core.actions import Migrate
+from aspensaddle.core.events import Endpoint, EndpointUpdateScope, Outcome, ServerState
+from aspensaddle.frontends.quic.initial import CONNECTION_REFUSED
 
 
 @pytest.fixture
@@ -33,19 +34,19 @@
 
 def test_a_drain_told_between_choice_and_initial_sends_nothing_there(bed):
     b = bed(modes=("ok", "ok"))
-    driver, request, drained = b.front.driver, b.front.driver.request, []
+    driver, request, drained = b.front.driver, b.front.driver.submit, []
 
     def drain_first_choice(owner, ask):
         request(owner, ask)
         if not drained:
             chosen = owner.decisions[-1][1].server
             drained.append(b.front.fleet.uid(chosen))
-            driver.servers(ListScope.CHANGES, (ServerEntry(chosen, state=ServerState.DRAINING),))
+            driver.update_endpoints(EndpointUpdateScope.INCREMENTAL, (Endpoint(chosen, state=ServerState.DRAINING),))
 
-    driver.request = drain_first_choice
+    driver.submit = drain_first_choice
     (client,) = b.ready()
     assert b.ask(client) != drained[0] and not b.runner(drained[0]).offered
-    assert b.counted("quic attempts void") == 1
+    assert b.counted("quic attempts not_sent") == 1
 
 
 def test_the_module_moves_a_client_which_comes_again_and_its_old_ids_find_nobody(bed):
@@ -55,7 +56,7 @@
     engine = b.front.engine
     (session,) = engine.sessions.all.values()
     old = session.ids[-1]
-    session.act(Move(session.id))
+    session.act(Migrate(session.id))
     b.wait(lambda: client.reset, "a reset")
     assert not engine.sessions.all and not engine.paths.count and session.id not in b.front.driver
     raw = b.raw()
@@ -70,7 +71,7 @@
     client = b.client()
     b.wait(lambda: b.front.engine.sessions.all, "the session")
     (session,) = b.front.engine.sessions.all.values()
-    session.act(Move(session.id))
+    session.act(Migrate(session.id))
     b.wait(lambda: client.ready, "the handshake")
     client.say(b"hello")
     b.wait(lambda: client.reset, "a reset")
@@ -106,7 +107,7 @@
 
 def test_cold_runners_are_protected_by_the_module(bed):
     b = bed(modes=("ok", "ok"))
-    b.front.driver.settings.rules.warm_after = 24.0
+    b.front.driver.settings.rules.slow_start_duration = 24.0
     b.front.driver.configure(b.front.driver.settings)
     b.replace(b.runners[1].target(boot_ms=int(b.net.now() * 1000)))
     for client in b.ready(12):
@@ -117,8 +118,11 @@
 def test_an_attempt_that_times_out_counts_as_one_that_may_have_run(bed):
     b = bed(modes=("silent", "ok"), reply=0.4)
     told = []
-    ended = b.front.driver.ended
-    b.front.driver.ended = lambda id, outcome, finished=False: (told.append(outcome), ended(id, outcome, finished))
+    ended = b.front.driver.attempt_ended
+    b.front.driver.attempt_ended = lambda id, outcome, finished=False: (
+        told.append(outcome),
+        ended(id, outcome, finished),
+    )
     for client in b.ready(3):
         assert b.ask(client) == "s-1"
     assert set(told) == {Outcome.TIMED_OUT}
--- a/tests/test_quic_guards.py
+++ b/tests/test_quic_guards.py
@@ -4,11 +4,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.fronts.quic.gate import CALM, Gate
-from aspensaddle.fronts.quic.session import Budget
-from aspensaddle.fronts.quic.slots import Slots
-from aspensaddle.fronts.quic.tables import Allowance, Expiring
-from aspensaddle.fronts.quic.tokens import AHEAD, TokenKey, Tokens, Verdict
+from aspensaddle.frontends.quic.gate import CALM, Gate
+from aspensaddle.frontends.quic.session import Budget
+from aspensaddle.frontends.quic.slots import Slots
+from aspensaddle.frontends.quic.tables import Allowance, Expiring
+from aspensaddle.frontends.quic.tokens import AHEAD, TokenKey, Tokens, Verdict
 
 A, B = TokenKey(1, bytes(16)), TokenKey(2, b"b" * 16, since=1000.0)
 HERE = ("192.0.2.1", 4433)
--- a/tests/test_quic_hello.py
+++ b/tests/test_quic_hello.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.fronts.quic.flight import MOST_INITIALS, Flight, Taken
-from aspensaddle.fronts.quic.hello import MOST_OCTETS, MOST_PIECES, Hello, HelloError, Reassembly, read_hello
-from aspensaddle.fronts.quic.packets import long_packets
-from aspensaddle.fronts.quic.rules import parse_rules
-from aspensaddle.support.decode import DecodeError
+from aspensaddle.frontends.quic.flight import MOST_INITIALS, Flight, Taken
+from aspensaddle.frontends.quic.hello import MOST_OCTETS, MOST_PIECES, Hello, HelloError, Reassembly, read_hello
+from aspensaddle.frontends.quic.packets import long_packets
+from aspensaddle.frontends.quic.rules import parse_rules
+from aspensaddle.support.json_fields import DecodeError
 
 CLASSES = {"test-run": 0, "draft-save": 1}
 
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.fronts.quic.directory import Directory, IdConfig, Kind
-from aspensaddle.fronts.quic.ids import IdFormat, reset_token
-from aspensaddle.fronts.quic.packets import RESET_LEAST, stateless_reset
+from aspensaddle.frontends.quic.directory import Directory, IdConfig, Kind
+from aspensaddle.frontends.quic.ids import IdFormat, reset_token
+from aspensaddle.frontends.quic.packets import RESET_LEAST, stateless_reset
 
 KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")  # of the draft's appendix B
 VECTORS = [  # rotation, server id, nonce, key, the id
--- a/tests/test_quic_parsers.py
+++ b/tests/test_quic_parsers.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.fronts.quic.initial import InitialKeys
-from aspensaddle.fronts.quic.packets import Malformed, long_packets, negotiated_away, parse_invariants
-from aspensaddle.fronts.quic.settings import load_quic
+from aspensaddle.frontends.quic.initial import InitialKeys
+from aspensaddle.frontends.quic.packets import Malformed, long_packets, negotiated_away, parse_invariants
+from aspensaddle.frontends.quic.settings import load_quic
 from aspensaddle.support.files import ConfigError, line_of
 
 CLASSES = {"test-run": 0, "draft-save": 1}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.core.interface import Outcome
-from aspensaddle.fronts.lines.clients import Clients
-from aspensaddle.fronts.lines.link import LINE, Link, TooLong
-from aspensaddle.fronts.lines.notes import Notes, Teller
-from aspensaddle.fronts.lines.relay import Relay
+from aspensaddle.core.events import Outcome
+from aspensaddle.frontends.line_protocol.clients import Clients
+from aspensaddle.frontends.line_protocol.link import LINE, Link, TooLong
+from aspensaddle.frontends.line_protocol.notes import Notes, Teller
+from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import BACKLOG, Log
 
@@ -23,13 +23,13 @@
     def __init__(self):
         self.loads, self.delays, self.waits, self.ended_as = [], [], [], []
 
-    def load(self, id, load):
+    def connection_load_reported(self, id, load):
         self.loads.append(load)
 
-    def delay(self, id, delay):
+    def server_latency_reported(self, id, delay):
         self.delays.append(delay)
 
-    def waited(self, id, wait):
+    def record_response_delay(self, id, wait):
         self.waits.append(wait)
 
 
@@ -106,7 +106,8 @@
 
 
 @pytest.mark.parametrize(
-    ("last", "outcome"), [(b"BYE\r\n", Outcome.OK), (b"MOVE\r\n", Outcome.CANCELLED), (b"M 1\r\n", Outcome.BROKEN)]
+    ("last", "outcome"),
+    [(b"BYE\r\n", Outcome.OK), (b"MOVE\r\n", Outcome.CANCELLED), (b"M 1\r\n", Outcome.CONNECTION_LOST)],
 )
 def test_a_runner_s_end_is_told_by_its_last_line_and_passed_on(last, outcome):
     async def script(client, runner, r):
@@ -128,7 +129,7 @@
 
         r, moved = relay(script)
         assert r.reset and not moved
-        assert r.outcome is (Outcome.BROKEN if side else Outcome.CANCELLED)
+        assert r.outcome is (Outcome.CONNECTION_LOST if side else Outcome.CANCELLED)
 
 
 def test_a_client_s_end_is_passed_on_and_what_the_runner_still_says_arrives():
@@ -182,15 +183,15 @@
 
 def test_a_fault_is_answered_and_ends_one_connection_only():
     class Faulty:
-        settings = SimpleNamespace(groups=False, classes=[SimpleNamespace(deadline=1.0)])
+        settings = SimpleNamespace(session_groups=False, classes=[SimpleNamespace(deadline=1.0)])
 
         def __contains__(self, id):
             return False
 
-        def request(self, *_):
+        def submit(self, *_):
             raise RuntimeError("a fault of the module")
 
-        def gone(self, id):
+        def client_disconnected(self, id):
             pass
 
     async def main():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,9 +11,9 @@
 import trio
 from standins import SETTINGS, WAIT, Client, Discovery, Program, Runner, until
 
-from aspensaddle.core.interface import ListScope
+from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import ConfigSource
-from aspensaddle.fleet.discovery import Discovery as DiscoveryCalls
+from aspensaddle.discovery.watcher import Discovery as DiscoveryCalls
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.files import ConfigError
 
@@ -78,7 +78,7 @@
         ({"discovery": "nowhere"}, "discovery"),
         ({"limits": {"sockets": 1}}, "limits.sockets"),
         ({"settings": settings(lanes=SETTINGS["lanes"][1:])}, "settings.lanes"),
-        ({"settings": settings(limits={"connect-timeout": -1})}, "limits.connect_timeout"),
+        ({"settings": settings(limits={"connect-timeout": -1})}, "limits.connect-timeout"),
     ):
         event = w.program.reload(**{**good, **change})
         assert event["event"] == "reload refused" and field in event["why"]
@@ -156,7 +156,7 @@
     def __init__(self):
         self.scopes, self.settings = [], None
 
-    def servers(self, scope, entries=()):
+    def update_endpoints(self, scope, entries=()):
         self.scopes.append(scope)
 
 
@@ -178,8 +178,8 @@
                 discovery.move(new.address)
                 while not new.watches:
                     await trio.sleep(0.01)
-                assert old.watches == 1 and ListScope.FAILED not in driver.scopes
-                discovery.stop_watch()
+                assert old.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                nursery.cancel_scope.cancel()
                 new.close()
                 old.close()
 
@@ -198,8 +198,8 @@
                 while not driver.scopes:
                     await trio.sleep(0.01)
                 await discovery.watch()
-                assert server.watches == 1 and ListScope.FAILED not in driver.scopes
-                discovery.stop_watch()
+                assert server.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                nursery.cancel_scope.cancel()
                 server.close()
 
     trio.run(main)
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -57,7 +57,7 @@
 
 
 async def breaks_after_the_window(played, connection):
-    played.later = 6.0 if played.f.config.settings.classes[0].window == 5.0 else 1.0
+    played.later = 6.0 if played.f.config.settings.classes[0].deduplication_window == 5.0 else 1.0
     reset(connection)
 
 
@@ -131,7 +131,9 @@
         await gate.reached.wait()
         played.later = 0.9
         settings = played.f.config.settings
-        played.f.driver.configure(replace(settings, classes=(replace(settings.classes[0], window=0.8),)))
+        played.f.driver.configure(
+            replace(settings, classes=(replace(settings.classes[0], deduplication_window=0.8),))
+        )
         gate.opened.set()
 
     assert Played(token()).run(happens) == (b"BUSY", 1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,17 +5,17 @@
 import pytest
 from helpers import CLASS, SETTINGS
 
-from aspensaddle.core.interface import Limits, Rules, Settings
+from aspensaddle.core.settings import Limits, ServiceRules, Settings
 
 WRONG = {
     "classes": {"classes": ()},
-    "classes[0].aim": {"classes": (replace(CLASS, aim=-1.0),)},
+    "classes[0].latency_objective": {"classes": (replace(CLASS, latency_objective=-1.0),)},
     "classes[0].deadline": {"classes": (replace(CLASS, deadline=float("nan")),)},
-    "rules.cold_share": {"rules": Rules(cold_share=1.2)},
-    "rules.warm_after": {"rules": Rules(warm_after=-1.0)},
+    "rules.initial_capacity_fraction": {"rules": ServiceRules(initial_capacity_fraction=1.2)},
+    "rules.slow_start_duration": {"rules": ServiceRules(slow_start_duration=-1.0)},
     "limits.max_attempts": {"limits": Limits(max_attempts=0)},
-    "balancers": {"balancers": 0},
-    "zone": {"zone": 3, "zones": 2},
+    "balancer_count": {"balancer_count": 0},
+    "zone": {"zone": 3, "zone_count": 2},
 }
 
 
@@ -26,4 +26,4 @@
 
 
 def test_smallest_settings_are_enough():
-    assert Settings(classes=(CLASS,)).zones == 1
+    assert Settings(classes=(CLASS,)).zone_count == 1
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -11,18 +11,16 @@
     "aspensaddle/conformance/cases/handshakes.py",
     "aspensaddle/conformance/front.py",
     "aspensaddle/conformance/peers.py",
-    "aspensaddle/core/balance.py",
-    "aspensaddle/core/interface.py",
-    "aspensaddle/fronts/lines/clients.py",
-    "aspensaddle/fronts/quic/placing.py",
+    "aspensaddle/core/balancer.py",
+    "aspensaddle/frontends/line_protocol/clients.py",
+    "aspensaddle/frontends/quic/placing.py",
 }
 OVERSIZED_FUNCTIONS = {
     "aspensaddle/conformance/peers.py:__init__",
-    "aspensaddle/core/settings.py:parse_settings",
     "aspensaddle/daemon/service.py:__init__",
     "aspensaddle/daemon/shutdown.py:shut_down",
-    "aspensaddle/fronts/lines/clients.py:_request",
-    "aspensaddle/fronts/quic/engine.py:_initial",
+    "aspensaddle/frontends/line_protocol/clients.py:_request",
+    "aspensaddle/frontends/quic/engine.py:_initial",
     "aspensaddle/importer/nginx.py:build",
 }
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -145,7 +145,7 @@
     for name, (_, answer) in LAST.items():
         assert re.fullmatch(answer + rb"( \d+)?\r\n", out[name].rest()), name
     whys = [e["why"] for e in w.program.events("request")]
-    assert whys.count("stopping") == sum(answer == b"BUSY" for _, answer in LAST.values()) > 0
+    assert whys.count("shutting_down") == sum(answer == b"BUSY" for _, answer in LAST.values()) > 0
 
 
 def test_a_drain_and_a_reload_told_meanwhile_do_not_hold_up_the_end(world):
@@ -206,7 +206,7 @@
         await f.until(lambda: f.clients.moving)
         connection.sendall(b"UP s-0\r\n")
         assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
-        assert f.clients.left == 0 and f.driver.now() < f.driver._last_send  # at once, not with the last
+        assert f.clients.left == 0 and f.driver.now() < f.driver._attempts_end_at  # at once, not with the last
         peer.stream.socket.close()
         await f.gone()
 
@@ -231,5 +231,5 @@
         await f.gone()
 
     front.run(script)
-    assert [more["why"] for name, more in front.events if name == "request"] == ["stopping"]
-    assert front.counters["refused: stopping"] == 1
+    assert [more["why"] for name, more in front.events if name == "request"] == ["shutting_down"]
+    assert front.counters["refused: shutting_down"] == 1
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -11,11 +11,13 @@
 import pytest
 from helpers import SETTINGS, Driver, entry
 
-from aspensaddle.core.interface import Limits, Outcome, Refuse, Rules, Send, Why
+from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
+from aspensaddle.core.events import Outcome
+from aspensaddle.core.settings import Limits, ServiceRules
 
 LOAD = 0.05  # of a core, the mean connection
 WEIGHT = 2.0  # cores that are listed
-RULES = Rules(0.016, 0.5, 0.12, 24.0, 4.0, 2.0, 10.0)
+RULES = ServiceRules(0.016, 0.5, 0.12, 24.0, 4.0, 2.0, 10.0)
 
 
 @dataclass
@@ -31,19 +33,23 @@
     restarts: float | None = None  # when most of the processes start anew
     late: float = 2.0  # a start is told within so many seconds
     live: float = 1.0  # the part of the processes that get anything
-    rules: Rules = field(default_factory=lambda: RULES)
+    rules: ServiceRules = field(default_factory=lambda: RULES)
 
 
-def budget(rules: Rules, age: float) -> float:
+def budget(rules: ServiceRules, age: float) -> float:
     """N: the requests of mean work that fill a server that old in the time that the settings name."""
-    warmth = rules.cold_share + (1 - rules.cold_share) * min(1.0, age / rules.warm_after)
-    return rules.tip_multiple * WEIGHT * warmth / rules.warm_after * rules.fall / LOAD
+    warmth = rules.initial_capacity_fraction + (1 - rules.initial_capacity_fraction) * min(
+        1.0, age / rules.slow_start_duration
+    )
+    return rules.overload_multiple * WEIGHT * warmth / rules.slow_start_duration * rules.overload_window / LOAD
 
 
 def play(f: Fleet, seed: int) -> dict[int, list[float]]:
     """At which ages each cold server was sent a request by a process that had been told of its start."""
     draw, start = Random(seed), 1000.0
-    settings = replace(SETTINGS, balancers=f.processes, groups=f.groups > 0, rules=f.rules, limits=Limits())
+    settings = replace(
+        SETTINGS, balancer_count=f.processes, session_groups=f.groups > 0, rules=f.rules, limits=Limits()
+    )
     known = [entry(n, weight=WEIGHT, started_at=start if n < f.cold else 0.0) for n in range(f.servers)]
     old = known[f.cold :]
 
@@ -67,7 +73,7 @@
                 d.tick(0.0)
             if now >= told[n] and not heard[n]:
                 heard[n] = True
-                d.list(*known[: f.cold])
+                d.update_endpoints(*known[: f.cold])
         if f.restarts is not None and now - 0.1 < start + f.restarts <= now:
             for n in range(f.processes):
                 if n % 10 < 7:
@@ -76,8 +82,8 @@
         for n in draw.choices(range(f.processes), busy, k=count):
             d = drivers[n]
             group = draw.choices(range(f.groups), sizes)[0] if f.groups else None
-            (send,) = d.ask(load=LOAD, group=group)
-            if isinstance(send, Send):
+            (send,) = d.ask(load_hint=LOAD, session_group=group)
+            if isinstance(send, StartAttempt):
                 d.stand(send)
                 if send.server in sent:
                     sent[send.server].append(now - start)
@@ -92,7 +98,7 @@
     for seed in seeds:
         for server, ages in play(f, seed).items():
             for first in ages:
-                count = sum(first <= age < first + f.rules.fall for age in ages)
+                count = sum(first <= age < first + f.rules.overload_window for age in ages)
                 n = budget(f.rules, first)
                 if count > n + 2 * sqrt(n) + 2:
                     over.append((seed, server, count, round(n + 2 * sqrt(n) + 2, 1)))
@@ -100,7 +106,7 @@
     return over
 
 
-FAST = replace(RULES, warm_after=8.0, cold_share=0.3)
+FAST = replace(RULES, slow_start_duration=8.0, initial_capacity_fraction=0.3)
 
 
 @pytest.mark.parametrize(
@@ -137,21 +143,25 @@
 def test_cold_servers_are_filled_all_the_same(fleet):
     """A tenth of the budget at least, which is what waiting for the mean of many processes leaves."""
     sent = play(fleet, 0)
-    allowed = sum(budget(fleet.rules, age / 10) / fleet.rules.fall / 10 for age in range(int(10 * fleet.seconds)))
+    allowed = sum(
+        budget(fleet.rules, age / 10) / fleet.rules.overload_window / 10 for age in range(int(10 * fleet.seconds))
+    )
     assert sum(map(len, sent.values())) >= 0.1 * allowed * fleet.cold
 
 
 def test_a_refusal_tells_whether_the_bound_on_cold_servers_is_its_cause():
-    d = Driver([entry(1, started_at=1000.0)], replace(SETTINGS, balancers=200, rules=RULES))
-    assert {a.why for a in (d.ask()[0] for _ in range(50)) if isinstance(a, Refuse)} == {Why.COLD}
-    d.list(entry(2))
+    d = Driver([entry(1, started_at=1000.0)], replace(SETTINGS, balancer_count=200, rules=RULES))
+    assert {a.reason for a in (d.ask()[0] for _ in range(50)) if isinstance(a, Reject)} == {
+        RejectReason.SLOW_START_LIMIT
+    }
+    d.update_endpoints(entry(2))
     sends = [d.ask()[0] for _ in range(20)]
     assert {s.server for s in sends} == {2}  # some of them were kept from the other
     d.gone(1)
     d.gone(2)
-    assert {d.end(s, Outcome.FULL)[0].why for s in sends} == {Why.NO_CANDIDATE}
+    assert {d.end(s, Outcome.REJECTED)[0].reason for s in sends} == {RejectReason.NO_AVAILABLE_SERVER}
 
 
 def test_without_the_bound_they_fall(monkeypatch):
-    monkeypatch.setattr("aspensaddle.core.balance.Balancer._cold", lambda *args: False)
+    monkeypatch.setattr("aspensaddle.core.balancer.Balancer._cold", lambda *args: False)
     assert len(falls(Fleet(20, asked=4.0), range(1))) >= 6
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from aspensaddle.store.messages import DATAGRAM, Entries, Marks, Sums, Wants, in_datagrams, seal, unseal
 from aspensaddle.store.settings import parse_store
 from aspensaddle.store.state import BUCKETS, MOST_IN_BUCKET, MOST_KEYS, MOST_VALUE, Entry, State, StoreError
-from aspensaddle.support.decode import DecodeError
+from aspensaddle.support.json_fields import DecodeError
 
 KEY = bytes(range(16))
 NOW = 1_796_122_829_834
--- a/tests/test_whole_fleet.py
+++ b/tests/test_whole_fleet.py
@@ -11,11 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from aspensaddle.core.interface import Action, LoadNote, Move, Outcome, Refuse, Send, Settings, Why
+from aspensaddle.core.actions import Action, Migrate, Reject, RejectReason, StartAttempt
+from aspensaddle.core.events import ConnectionLoadReported, Outcome
+from aspensaddle.core.settings import Settings
 from aspensaddle.core.shortage import FAIR, HEAVY, Shortage
 
 BALANCERS, SERVERS, LOAD = 200, 60, 0.05
-FLEET = replace(SETTINGS, balancers=BALANCERS, groups=True)
+FLEET = replace(SETTINGS, balancer_count=BALANCERS, session_groups=True)
 
 
 def test_groups_stand_on_few_servers_though_every_balancer_places_alone():
@@ -28,7 +30,7 @@
     for _ in range(5):
         for d in drivers:
             group = draw.choices(groups, sizes)[0]
-            there[group, d.place(load=LOAD, group=group).server] += 1
+            there[group, d.place(load_hint=LOAD, session_group=group).server] += 1
     held = Counter[int]()
     for (_, server), n in there.items():
         held[server] += n
@@ -39,23 +41,23 @@
 def broken(d: Driver, times: int) -> None:
     """Connections that stood for long are cut off by their servers."""
     for _ in range(times):
-        send = d.place(load=LOAD)
+        send = d.place(load_hint=LOAD)
         d.tick(0.1)
-        d.b.requests[send.id].up_at -= 10
-        d.end(send, Outcome.BROKEN, finished=True)
+        d.b.requests[send.request_id].up_at -= 10
+        d.end(send, Outcome.CONNECTION_LOST, finished=True)
 
 
 @pytest.mark.parametrize(("count", "waits"), [(1, False), (2, False), (40, True), (BALANCERS, True)])
 def test_clients_that_were_cut_off_wait_while_breaks_are_seen_and_only_they_and_no_longer(count, waits):
     """A server that has dropped all it held is held down by clients that come back at once, and no balancer of many
     can tell which server that is."""
-    d = Driver(SERVERS, replace(SETTINGS, balancers=count))
+    d = Driver(SERVERS, replace(SETTINGS, balancer_count=count))
 
     def refused(returning: bool) -> int:
-        answers = [d.ask(load=LOAD, returning=returning)[0] for _ in range(100)]
-        assert all(0 < a.retry_after <= SETTINGS.limits.max_retry_after for a in answers if isinstance(a, Refuse))
-        assert {a.why for a in answers if isinstance(a, Refuse)} <= {Why.STORM}
-        return sum(isinstance(a, Refuse) for a in answers)
+        answers = [d.ask(load_hint=LOAD, reconnecting=returning)[0] for _ in range(100)]
+        assert all(0 < a.retry_after <= SETTINGS.limits.max_retry_after for a in answers if isinstance(a, Reject))
+        assert {a.reason for a in answers if isinstance(a, Reject)} <= {RejectReason.RETRY_STORM}
+        return sum(isinstance(a, Reject) for a in answers)
 
     assert refused(True) == 0
     broken(d, 8)
@@ -65,10 +67,10 @@
     assert refused(True) <= 10
 
 
-def loaded(d: Driver, load: float) -> tuple[Send, list[Action]]:
+def loaded(d: Driver, load: float) -> tuple[StartAttempt, list[Action]]:
     """A connection that tells its load when it is up; what is done then."""
     send = d.place()
-    return send, d.b.handle(d.now, LoadNote(send.id, send.server, load)) or []
+    return send, d.b.handle(d.now, ConnectionLoadReported(send.request_id, send.server, load)) or []
 
 
 @pytest.mark.parametrize(
@@ -83,20 +85,22 @@
 )
 def test_the_heaviest_leave_where_servers_drop_what_they_hold_and_all_ask_for_too_much(count, cores, breaks, leaves):
     """A twentieth of the connections may ask for most of the work, each worth no more than a light one."""
-    d = Driver([entry(n, weight=cores) for n in range(SERVERS)], replace(SETTINGS, balancers=count))
+    d = Driver([entry(n, weight=cores) for n in range(SERVERS)], replace(SETTINGS, balancer_count=count))
     broken(d, breaks)
     light = [loaded(d, 0.02) for _ in range(4)]
     heavy, moves = loaded(d, 0.8)
     assert not any(m for _, m in light)
-    assert [a.id for a in [*moves, *d.tick()] if isinstance(a, Move)] == ([heavy.id] if leaves else [])
-    assert not [a for a in d.tick() if isinstance(a, Move)]  # once
+    assert [a.request_id for a in [*moves, *d.tick()] if isinstance(a, Migrate)] == (
+        [heavy.request_id] if leaves else []
+    )
+    assert not [a for a in d.tick() if isinstance(a, Migrate)]  # once
     d.end(heavy, Outcome.CANCELLED, finished=True)
     again, moves = loaded(d, 0.9)
-    assert [a.id for a in moves if isinstance(a, Move)] == ([again.id] if leaves else [])
-    assert not any(isinstance(a, Move) for a in loaded(d, 0.01)[1])
+    assert [a.request_id for a in moves if isinstance(a, Migrate)] == ([again.request_id] if leaves else [])
+    assert not any(isinstance(a, Migrate) for a in loaded(d, 0.01)[1])
     for send, _ in light:  # loads swing: one that grows heavy leaves too, and one that stays light does not
-        d.b.handle(d.now, LoadNote(send.id, send.server, 0.03))
-    assert count <= 2 or not [a for a in d.tick() if isinstance(a, Move)]  # few even out what they see
+        d.b.handle(d.now, ConnectionLoadReported(send.request_id, send.server, 0.03))
+    assert count <= 2 or not [a for a in d.tick() if isinstance(a, Migrate)]  # few even out what they see
 
 
 CORES = st.floats(0, 100)
@@ -142,10 +146,10 @@
             if step % 2:
                 d.tick(0.5)
             d.now = t
-            d.list(*(e for e in entries if t <= e.started_at + 2.0 < t + 0.5))  # the list is 2 s late
+            d.update_endpoints(*(e for e in entries if t <= e.started_at + 2.0 < t + 0.5))  # the list is 2 s late
         for d in draw.choices(drivers, busy, k=int(asked * servers / 2)):
-            (send,) = d.ask(load=LOAD, group=draw.choices(range(groups), sizes)[0] if groups else None)
-            if isinstance(send, Send):
+            (send,) = d.ask(load_hint=LOAD, session_group=draw.choices(range(groups), sizes)[0] if groups else None)
+            if isinstance(send, StartAttempt):
                 d.stand(send)
                 if send.server in sent:
                     sent[send.server].append(t - entries[send.server].started_at)
@@ -155,29 +159,31 @@
 def can(settings: Settings, age: float, bears: float = 2.0) -> float:
     """The load a second by which a new server is filled within its warm-up, at worst."""
     rules = settings.rules
-    warmth = rules.cold_share + (1 - rules.cold_share) * min(1.0, age / rules.warm_after)
-    return bears * warmth / rules.warm_after
+    warmth = rules.initial_capacity_fraction + (1 - rules.initial_capacity_fraction) * min(
+        1.0, age / rules.slow_start_duration
+    )
+    return bears * warmth / rules.slow_start_duration
 
 
-@pytest.mark.parametrize("warm_after", [8.0, 60.0])
+@pytest.mark.parametrize("slow_start_duration", [8.0, 60.0])
 @pytest.mark.parametrize("groups", [0, 1, 38])
 @pytest.mark.parametrize("count", [3, 40, 230])
-def test_new_servers_are_sent_no_more_by_all_together_than_the_rule_lets_them(count, groups, warm_after):
+def test_new_servers_are_sent_no_more_by_all_together_than_the_rule_lets_them(count, groups, slow_start_duration):
     """Also where more is asked for than in an ordinary second, by few groups, and mostly at some balancers."""
-    rules = replace(SETTINGS.rules, warm_after=warm_after)
-    settings = replace(SETTINGS, balancers=count, groups=groups > 0, rules=rules)
+    rules = replace(SETTINGS.rules, slow_start_duration=slow_start_duration)
+    settings = replace(SETTINGS, balancer_count=count, session_groups=groups > 0, rules=rules)
     sent = joining(count, settings, groups=groups, asked=3.0)
-    window, chance = 2 * rules.fall, 6 * LOAD  # two windows of the rule, lest a few connections be all
+    window, chance = 2 * rules.overload_window, 6 * LOAD  # two windows of the rule, lest a few connections be all
     for some in sent.values():
         for first in some:
             load = LOAD * sum(first <= age < first + window for age in some)
-            assert load - chance <= rules.tip_multiple * window * can(settings, first + window)
+            assert load - chance <= rules.overload_multiple * window * can(settings, first + window)
 
 
 @pytest.mark.parametrize(("count", "groups"), [(3, 38), (40, 38), (230, 38), (230, 1)])
 def test_new_servers_hold_a_part_of_what_comes_before_they_are_half_warm(count, groups):
     """A debt of each balancer lets one connection in minutes through where they are many."""
-    settings = replace(SETTINGS, balancers=count, groups=True)
+    settings = replace(SETTINGS, balancer_count=count, session_groups=True)
     sent = joining(count, settings, groups=groups, asked=0.8)
     even = 0.8 * LOAD * sum(SECONDS - start for start in STARTS)
     assert sum(LOAD * len(some) for some in sent.values()) >= even / 12
@@ -186,19 +192,21 @@
 @pytest.mark.parametrize(
     "rules",
     [
-        replace(SETTINGS.rules, cold_share=0.0),
-        replace(SETTINGS.rules, tip_multiple=0.0),
-        replace(SETTINGS.rules, warm_after=0.0),
-        replace(SETTINGS.rules, warm_after=1e6),
+        replace(SETTINGS.rules, initial_capacity_fraction=0.0),
+        replace(SETTINGS.rules, overload_multiple=0.0),
+        replace(SETTINGS.rules, slow_start_duration=0.0),
+        replace(SETTINGS.rules, slow_start_duration=1e6),
     ],
 )
 @pytest.mark.parametrize("weight", [0.0, 1.0])
 def test_settings_at_their_ends_leave_every_request_answered(rules, weight):
     """Also where no load is told, every server is cold, and a new configuration makes warm ones cold."""
-    d = Driver([entry(n, weight=weight, started_at=1000.0) for n in range(3)], replace(SETTINGS, balancers=BALANCERS))
+    d = Driver(
+        [entry(n, weight=weight, started_at=1000.0) for n in range(3)], replace(SETTINGS, balancer_count=BALANCERS)
+    )
     for settings in (replace(SETTINGS, rules=rules), SETTINGS):
         for group in (None, 1):
-            (action,) = d.ask(group=group)
-            assert isinstance(action, Refuse | Send)
+            (action,) = d.ask(session_group=group)
+            assert isinstance(action, Reject | StartAttempt)
             d.tick()
         d.b.configure(settings)
