--- a/benchmarks/roll_world.py
+++ b/benchmarks/roll_world.py
@@ -322,8 +322,8 @@
             **{
                 **{f: getattr(SETTINGS, f) for f in SETTINGS.__slots__},
                 "zone": index % 2,
-                "index": index,
-                "balancers": balancers,
+                "balancer_index": index,
+                "balancer_count": balancers,
             }
         )
         return Balancer(settings, 100_003 * self.seed + 1_000 * life + index)
