--- /dev/null
+++ b/aspensaddle/core/balancer_state.py
@@ -0,0 +1,83 @@
+"""The state that the rules of one balancer share: settings, servers, requests, pools and load sums."""
+
+from __future__ import annotations
+
+from random import Random
+
+from aspensaddle.core.affinity import SessionGroups
+from aspensaddle.core.attempt_window import SLOT_SECONDS, WINDOW_SLOTS
+from aspensaddle.core.capacity_shortage import CapacityShortage
+from aspensaddle.core.load_reports import uses_load_reports
+from aspensaddle.core.request_rate import RequestRate
+from aspensaddle.core.request_state import RequestState
+from aspensaddle.core.server_pool import ServerPool
+from aspensaddle.core.server_state import Server
+from aspensaddle.core.settings import Settings
+from aspensaddle.core.tenant_quotas import TenantQuotas
+
+USUAL_BALANCER_COUNT = 2.5  # the operators' brief, 1.1: two or three; with more, each sees a part of the fleet only
+MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS = 1e-3
+
+
+class BalancerState:
+    """Shared state of one balancer. The rules read and change it; it decides nothing.
+
+    Loads are core seconds a second. `mean_load` is that of a connection, 1 until any is known.
+    """
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        """Start without servers and requests. `seed` is that of all random draws."""
+        self.tenant_quotas = TenantQuotas()
+        self.configure(settings)
+        self.random = Random(seed)
+        self.servers: dict[int, Server] = {}
+        self.requests: dict[str, RequestState] = {}
+        self.session_groups = SessionGroups()
+        self.request_rate = RequestRate(WINDOW_SLOTS * SLOT_SECONDS)
+        self.shortage = CapacityShortage()
+        # Pools.
+        self.local_pool = ServerPool()
+        self.fleet_pool = ServerPool()
+        self.ready_count = 0
+        self.warming_up_count = 0
+        # Loads.
+        self.mean_load = 1.0
+        self.load_samples = 0  # that the mean was made of, up to a maximum
+        self.total_load = 0.0  # of all servers
+        self.typical_server_load = 0.0  # smoothed mean of the ready servers
+        self.own_load = 0.0  # that this balancer asks
+        self.reported_capacity = 0.0  # smoothed, of a warm server; 0 without reports
+        self.reported_connections = 0.0  # of all balancers; 0 without reports
+        # Faults.
+        self.unseen_fraction = 0.0  # how little of the fleet this balancer holds connections on, 0 to 1
+        self.lost_connections = 0.0  # a decaying count
+
+    def configure(self, settings: Settings) -> None:
+        """Take settings, at the start or later. Classes and zones keep their numbers."""
+        self.settings = settings
+        self.rules = settings.rules
+        self.limits = settings.limits
+        shortest = min(request_class.message_latency_objective for request_class in settings.classes)
+        self.message_latency_objective = max(MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS, shortest)
+        self.session_group_cost = settings.session_group_cost if settings.session_groups else 0.0
+        # 0 for a usual number of balancers, towards 1 for many.
+        self.fleet_factor = max(0.0, 1 - USUAL_BALANCER_COUNT / settings.balancer_count)
+        self.tenant_quotas.quotas = settings.tenant_connection_quotas
+        self.uses_load_reports = uses_load_reports(settings)
+        # Number of balancers whose load `Server.load` includes.
+        self.balancers_in_load = settings.balancer_count if self.uses_load_reports else 1
+
+    @property
+    def sees_little(self) -> bool:
+        """Whether this is one of many balancers and holds less than a connection per server."""
+        return self.fleet_factor > 0 and len(self.requests) < self.ready_count
+
+    def pools_of(self, server: Server) -> tuple[ServerPool, ...]:
+        """Return the pools that a server belongs to."""
+        if server.zone == self.settings.zone:
+            return (self.local_pool, self.fleet_pool)
+        return (self.fleet_pool,)
+
+    def capacity_fraction(self, now: float, server: Server) -> float:
+        """Return the least fraction of its capacity that a server has by now."""
+        return self.rules.capacity_fraction(now - server.started_at) if server.started_at else 1.0
--- a/aspensaddle/core/driver.py
+++ b/aspensaddle/core/driver.py
@@ -254,8 +254,8 @@
         now = self.now()
         return {
             server.id: ServerSnapshot(
-                connections=len(server.holds),
-                load=round(server.carried, 4),
+                connections=len(server.connections),
+                load=round(server.load, 4),
                 share=round(server.share, 4),
                 sends=server.window.sends,
                 accepts=server.window.accepts,
--- /dev/null
+++ b/aspensaddle/core/membership.py
@@ -0,0 +1,85 @@
+"""Membership: servers that join, leave or change by the endpoint list, and when a failed watch is retried."""
+
+from __future__ import annotations
+
+from aspensaddle.core.actions import SetTimer
+from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.events import Endpoint, EndpointsChanged, EndpointUpdateScope, ServerState
+from aspensaddle.core.server_state import Server
+from aspensaddle.core.weighted_rotation import WeightedRotation
+
+WATCH_TIMER = "watch"
+FIRST_WATCH_RETRY_SECONDS = 0.5
+MIN_LONGEST_WATCH_RETRY_SECONDS = 1.0
+MAX_BACKOFF_DOUBLINGS = 10
+
+
+class Membership:
+    """Keeps the servers of the state in step with the endpoint list."""
+
+    def __init__(self, state: BalancerState, rotation: WeightedRotation) -> None:
+        """Start without a list."""
+        self._state = state
+        self._rotation = rotation
+        self._failed_watches = 0
+
+    def first_watch(self) -> SetTimer:
+        """Return the timer of the first watch, spread so that balancers do not start theirs together."""
+        return SetTimer(WATCH_TIMER, self._state.random.uniform(0.0, self._state.rules.poll_interval / 2))
+
+    def retry_watch(self) -> SetTimer:
+        """Return the timer of the next watch after a failed one, by exponential backoff with jitter.
+
+        A list that is pushed comes from an agent of this balancer alone, which may be asked often.
+        """
+        self._failed_watches += 1
+        longest = self._state.rules.poll_interval if self._state.settings.polls_discovery else 0.0
+        doublings = min(self._failed_watches, MAX_BACKOFF_DOUBLINGS)
+        wait = min(max(MIN_LONGEST_WATCH_RETRY_SECONDS, longest), FIRST_WATCH_RETRY_SECONDS * 2**doublings)
+        return SetTimer(WATCH_TIMER, self._state.random.uniform(wait / 2, wait))
+
+    def update(self, now: float, event: EndpointsChanged) -> bool:
+        """Take an update of the endpoint list; return whether servers joined, left or changed their state."""
+        self._failed_watches = 0
+        changed = self._remove_unlisted(event) + [
+            server for endpoint in event.endpoints if (server := self._update_server(endpoint))
+        ]
+        if changed:
+            self._reset(now, changed)
+        self._rotation.needs_layout = True
+        self._state.session_groups.clear()
+        return bool(changed)
+
+    def _remove_unlisted(self, event: EndpointsChanged) -> list[Server]:
+        """Remove the servers that a complete list does not name."""
+        if event.scope is EndpointUpdateScope.INCREMENTAL:
+            return []
+        servers = self._state.servers
+        listed = {endpoint.server for endpoint in event.endpoints}
+        return [servers.pop(number) for number in list(servers) if number not in listed]
+
+    def _update_server(self, endpoint: Endpoint) -> Server | None:
+        """Take one endpoint; return its server if that joined, left, restarted or changed its state."""
+        servers = self._state.servers
+        server = servers.get(endpoint.server)
+        if server is None:
+            server = servers[endpoint.server] = Server(endpoint, self._state.random.random())
+        is_ready = endpoint.state is ServerState.READY
+        changed = endpoint.started_at != server.started_at or is_ready != server.is_ready
+        server.update(endpoint, self._state.settings.core_speeds)
+        if endpoint.state is ServerState.GONE:
+            del servers[endpoint.server]  # bounds memory by the servers that are listed
+        return server if changed else None
+
+    def _reset(self, now: float, changed: list[Server]) -> None:
+        """Let servers join at the mean ratio with a clean record, and others leave."""
+        for server in changed:
+            server.is_ready = server.is_ready and server.id in self._state.servers
+            server.ratio = 0.0
+            server.consecutive_failures = 0
+            server.ejected_until = 0.0
+            server.slow_until = 0.0
+            server.drops_connections = False
+        self._rotation.rescale_ratios()
+        for server in changed:
+            self._rotation.place(now, server)
--- /dev/null
+++ b/aspensaddle/core/outlier_ejection.py
@@ -0,0 +1,92 @@
+"""Outlier ejection: servers that fail get no attempts for a time that backs off.
+
+A server is ejected when it cannot be reached or fails twice in a row. When the time is over it gets one attempt
+(half-open) until that has ended. One that drops connections as soon as they are established stays under suspicion
+until a connection has held for `HOLD_SECONDS`.
+"""
+
+from __future__ import annotations
+
+from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.events import Outcome
+from aspensaddle.core.request_state import RequestState
+from aspensaddle.core.server_state import Server
+from aspensaddle.core.weighted_rotation import WeightedRotation
+
+FIRST_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 16.0
+MAX_BACKOFF_DOUBLINGS = 10
+EJECTION_JITTER = (0.75, 1.25)  # balancers do not all return at once
+HOLD_SECONDS = 2.0  # a connection that held for so long was not dropped as soon as it was established
+AVOIDANCE_SECONDS = 15.0  # in which a server recovers that lost a connection while capacity was missing
+LOST_CONNECTIONS_DECAY = 0.9  # per tick
+
+NOT_THE_SERVERS_FAULT = (Outcome.OK, Outcome.NOT_SENT, Outcome.CANCELLED)
+
+
+class OutlierEjection:
+    """Counts failures in a row, ejects servers and readmits them."""
+
+    def __init__(self, state: BalancerState, rotation: WeightedRotation) -> None:
+        """Eject from `rotation`."""
+        self._state = state
+        self._rotation = rotation
+
+    def attempt_started(self, now: float, server: Server, time_left: float) -> None:
+        """Keep a half-open server from further attempts until this one has ended."""
+        if server.ejected_until:
+            server.ejected_until = max(server.ejected_until, now + time_left)
+            self._rotation.place(now, server)
+
+    def attempt_accepted(self, now: float, server: Server) -> None:
+        """Readmit a server that accepted; one that drops connections only once this one has held."""
+        if not (server.drops_connections or server.consecutive_failures):
+            return
+        if server.drops_connections:
+            server.ejected_until = now + HOLD_SECONDS
+        else:
+            server.consecutive_failures = 0
+            server.ejected_until = 0.0
+        self._rotation.place(now, server)
+
+    def attempt_failed(self, now: float, request: RequestState, server: Server, outcome: Outcome) -> None:
+        """Take a failed attempt or a lost connection into account. A timeout may be the backend store's fault."""
+        lost = request.is_established and outcome is Outcome.CONNECTION_LOST
+        if lost:
+            self._state.lost_connections += server.is_ready
+            server.avoided_until = now + AVOIDANCE_SECONDS * (self._state.shortage.missing > 0)
+        failed = not request.is_established and outcome is not Outcome.TIMED_OUT
+        if lost and now < request.established_at + HOLD_SECONDS:
+            # It carries nothing, so that its turn would always come, and its clients would return to it.
+            failed = True
+            server.drops_connections = True
+            server.connection_dropped_at = now
+        server.consecutive_failures += failed
+        if failed and (outcome is Outcome.UNREACHABLE or server.consecutive_failures > 1):
+            self._eject(now, server)
+
+    def _eject(self, now: float, server: Server) -> None:
+        doublings = min(server.consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
+        ejection = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**doublings)
+        server.ejected_until = now + ejection * self._state.random.uniform(*EJECTION_JITTER)
+        self._rotation.place(now, server)
+
+    def readmit_holding(self, now: float) -> None:
+        """Clear the servers whose connections hold again, once a tick."""
+        for server in self._state.servers.values():
+            if server.drops_connections and self._holds(now, server):
+                server.drops_connections = False
+                server.consecutive_failures = 0
+                server.ejected_until = 0.0
+
+    @staticmethod
+    def _holds(now: float, server: Server) -> bool:
+        return any(
+            now >= request.established_at + HOLD_SECONDS
+            for request in server.connections.values()
+            if request.established_at > server.connection_dropped_at
+        )
+
+    def decay_lost_connections(self) -> None:
+        """Let the count of lost connections fade, once a tick."""
+        self._state.lost_connections *= LOST_CONNECTIONS_DECAY
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -76,6 +76,9 @@
         self.stand(send)
         return send
 
+    def lay_out(self) -> None:
+        self.b.rotation.lay_out(self.now, self.b.accounting.weigh)
+
     def tick(self, seconds: float = 1.0) -> list[Action]:
         self.now += seconds
         return self.b.handle(self.now, TimerFired("tick"))
