--- a/aspensaddle/core/__init__.py
+++ b/aspensaddle/core/__init__.py
@@ -1,2 +1,4 @@
-"""The decisions, what goes in and comes out of them, and what drives them. Knows no wire and no clock
-but the driver's."""
+"""The decisions, their settings, events and actions, and the driver that carries events in and actions out.
+
+The modules know no wire, and no clock but the driver's.
+"""
--- a/aspensaddle/core/settings.py
+++ b/aspensaddle/core/settings.py
@@ -17,6 +17,7 @@
     """
 
     def __init__(self, setting: str, value: float, low: float, high: float) -> None:
+        """Name the setting, what was found and what is allowed."""
         super().__init__(f"{setting}: {value!r} is not within {low} to {high}")
         self.setting = setting
         self.value = value
