--- a/aspensaddle/core/capacity_shortage.py
+++ b/aspensaddle/core/capacity_shortage.py
@@ -17,7 +17,7 @@
 NEGLIGIBLE_SHORTAGE = 1e-9
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ServerCapacity:
     """Cores that a server is listed with, and those that are ready and warm now."""
 
