--- a/aspensaddle/core/affinity.py
+++ b/aspensaddle/core/affinity.py
@@ -1,8 +1,9 @@
 """Affinity of session groups: the order in which a group prefers servers, the same at every balancer.
 
 Consistent hashing: each ready server has some points on a ring, and a group walks the ring from a point of its own.
-Among a group's preferred servers clients are spread by rendezvous hashing, weighted by listed size. Both follow from
-the endpoint list alone, so balancers agree without sharing state. A server that joins or leaves moves only what it
+While capacity is missing, clients are spread over their group's preferred servers by rendezvous hashing, weighted by
+size. Both orders follow from the endpoint list, so balancers agree on them without sharing state; how many servers a
+group prefers is estimated from this balancer's requests. A server that joins or leaves moves only what it
 gains or loses, and the first n servers of a walk are among its first n + 1.
 
 Karger and others, "Consistent hashing and random trees", 1997; Thaler and Ravishankar, "Using name-based mappings to
@@ -11,21 +12,29 @@
 
 from __future__ import annotations
 
-from bisect import bisect
 from collections import deque
 from collections.abc import Iterable, Iterator
 from math import log
 
-from aspensaddle.core.server_state import RING_POINTS, Server
+from aspensaddle.core.hash_ring import HashRing
+from aspensaddle.core.server_state import Server
 
 REMEMBERED_REQUESTS = 100  # whose groups tell the groups' shares
-PRIOR_REQUESTS = 16  # of other groups, until the shares are known
+PRIOR_REQUESTS = 16  # of other groups, which damps shares estimated from few requests
+
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2 ** 64 / golden ratio, as in SplitMix64
+MIX_MULTIPLIER_64 = 0xD6E8FEB86659FD93  # as in rrmxmx
+MASK_64 = (1 << 64) - 1
+MASK_53 = (1 << 53) - 1  # bits of a float's mantissa
 
 
 def _uniform(client: int, server: int) -> float:
-    """Return a number between 0 and 1, both excluded, that depends on the pair alone."""
-    mixed = hash((client, server)) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
-    return ((mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93 >> 11 & 0x1FFFFFFFFFFFFF | 1) / (1 << 53)
+    """Return a number between 0 and 1, both excluded, that depends on the pair alone.
+
+    Hashes of tuples of integers are the same in all processes.
+    """
+    mixed = hash((client, server)) * GOLDEN_RATIO_64 & MASK_64
+    return ((mixed ^ mixed >> 32) * MIX_MULTIPLIER_64 >> 11 & MASK_53 | 1) / (1 << 53)
 
 
 class SessionGroups:
@@ -37,23 +46,20 @@
 
     def __init__(self) -> None:
         """Start without servers and requests."""
-        self._ring: list[tuple[int, int, Server]] = []
+        self._ring = HashRing()
         self._recent_groups = deque[int | None](maxlen=REMEMBERED_REQUESTS)
 
     def clear(self) -> None:
         """Forget the ring: the endpoint list has changed."""
-        self._ring = []
+        self._ring = HashRing()
 
     def preferred_servers(self, group: int, servers: Iterable[Server]) -> Iterator[Server]:
         """Yield the ready servers that have any weight, each once, the group's most preferred first."""
         if not self._ring:
             usable = (server for server in servers if server.is_ready and server.weight > 0)
-            self._ring = sorted(point for server in usable for point in server.ring_points)
-        ring = self._ring
+            self._ring = HashRing(usable)
         seen = set[int]()
-        start = bisect(ring, (hash((group, RING_POINTS)), 0))
-        for index in range(start, start + len(ring)):
-            server = ring[index % len(ring)][2]
+        for server in self._ring.walk(group):
             if server.id not in seen:
                 seen.add(server.id)
                 yield server
--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: takes events, asks the rules in order and returns their actions. It has no rule of its own.
+"""The balancer: takes events, asks the rules in order and returns their actions.
 
 `docs/architecture.md` lists the rules with their modules and their order.
 """
@@ -32,7 +32,7 @@
 from aspensaddle.core.load_accounting import LoadAccounting
 from aspensaddle.core.membership import WATCH_TIMER, Membership
 from aspensaddle.core.migration import Migration
-from aspensaddle.core.outlier_ejection import NOT_THE_SERVERS_FAULT, OutlierEjection
+from aspensaddle.core.outlier_ejection import NEUTRAL_OUTCOMES, OutlierEjection
 from aspensaddle.core.passive_measurement import TICK_SECONDS, PassiveMeasurement
 from aspensaddle.core.request_state import RequestState
 from aspensaddle.core.retry_after import rejection_retry_after
@@ -44,13 +44,14 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 TICK_TIMER = "tick"
+WARM_UP_REFRESH_TICKS = 2  # shares follow the warm-up every second tick, which spares processor time
 
 
 class Balancer:
     """Decides for one balancer, free of I/O and clocks.
 
-    `handle` takes the time in seconds and an event and returns the actions to carry out, in order. An event that
-    concerns no request or server that is known has none.
+    `handle` takes the time in seconds and an event and returns the actions to carry out, in order. Events for unknown
+    requests and servers are ignored.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -104,7 +105,7 @@
     def _started(self, now: float, event: Started) -> list[Action]:
         # Drawn, because balancers that tick together would cut the same server together.
         tick = SetTimer(TICK_TIMER, self.state.random.uniform(0.0, TICK_SECONDS))
-        watch = self.membership.first_watch()
+        watch = self.membership.first_watch()  # drawn even if unused: one seed, one sequence of draws
         return [tick, watch] if self.state.settings.polls_discovery else [tick]
 
     def _timer_fired(self, now: float, event: TimerFired) -> list[Action]:
@@ -113,9 +114,11 @@
         return [WatchEndpoints()] if event.timer == WATCH_TIMER else []
 
     def _tick(self, now: float) -> list[Action]:
+        """Run the periodic rules. Their order matters: readmitted servers are placed by the refresh after it."""
         self.passive_measurement.cut_worst(now)
         self.outlier_ejection.readmit_holding(now)
-        self._refresh_unsettled(now)
+        self.latency_outliers.clear_silent(now)
+        self.rotation.refresh_unsettled(now, by_warm_up=bool(self.passive_measurement.slot % WARM_UP_REFRESH_TICKS))
         self.latency_outliers.survey(now)
         self.outlier_ejection.decay_lost_connections()
         self.state.request_rate.tick()
@@ -126,14 +129,6 @@
             self.rotation.lay_out(now, self.accounting.weigh)
         return [*self.health_checks.due(now), *self.migration.rebalance(), *self.migration.heavy_connections(now)]
 
-    def _refresh_unsettled(self, now: float) -> None:
-        """Place servers anew that time has changed: each other tick by warm-up, at once by availability."""
-        for server in list(self.rotation.unsettled.values()):
-            self.latency_outliers.clear_silent(now, server)
-            is_available = server.ejected_until <= now and server.slow_until <= now
-            if self.passive_measurement.slot % 2 or server.is_available != is_available:
-                self.rotation.place(now, server)
-
     def _endpoints_changed(self, now: float, event: EndpointsChanged) -> list[Action]:
         if event.scope is EndpointUpdateScope.FAILED:
             return [self.membership.retry_watch()]
@@ -173,7 +168,7 @@
         request.attempt_sent_at = now
         request.server = server
         request.tried_servers = [*request.tried_servers, server.id]
-        server.attempted_at = now
+        server.last_attempt_at = now
         self.outlier_ejection.attempt_started(now, server, time_left)
         self.accounting.charge(server, request)
         return [StartAttempt(request.request.request_id, server.id, time_left)]
@@ -219,7 +214,7 @@
         self._release(request, server)
         if event.outcome is Outcome.OK and not request.is_established:
             self._accept(now, request, server, event.latency)
-        elif event.outcome not in NOT_THE_SERVERS_FAULT:
+        elif event.outcome not in NEUTRAL_OUTCOMES:
             self.passive_measurement.count(server, accepted=False)
             self.outlier_ejection.attempt_failed(now, request, server, event.outcome)
         if event.finished or request.is_established:
--- a/aspensaddle/core/balancer_state.py
+++ b/aspensaddle/core/balancer_state.py
@@ -15,7 +15,7 @@
 from aspensaddle.core.settings import Settings
 from aspensaddle.core.tenant_quotas import TenantQuotas
 
-USUAL_BALANCER_COUNT = 2.5  # the operators' brief, 1.1: two or three; with more, each sees a part of the fleet only
+USUAL_BALANCER_COUNT = 2.5  # two or three; with more, each sees only a part of what servers carry
 MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS = 1e-3
 
 
@@ -43,13 +43,13 @@
         # Loads.
         self.mean_load = 1.0
         self.load_samples = 0  # that the mean was made of, up to a maximum
-        self.total_load = 0.0  # of all servers
-        self.typical_server_load = 0.0  # smoothed mean of the ready servers
-        self.own_load = 0.0  # that this balancer asks
+        self.total_load = 0.0  # of all servers, those that drain included
+        self.typical_server_load = 0.0  # smoothed, total load per ready server
+        self.own_load = 0.0  # of this balancer's connections
         self.reported_capacity = 0.0  # smoothed, of a warm server; 0 without reports
         self.reported_connections = 0.0  # of all balancers; 0 without reports
         # Faults.
-        self.unseen_fraction = 0.0  # how little of the fleet this balancer holds connections on, 0 to 1
+        self.unseen_weight = 0.0  # 0 for few balancers, towards 1 the fewer servers hold this balancer's connections
         self.lost_connections = 0.0  # a decaying count
 
     def configure(self, settings: Settings) -> None:
@@ -61,16 +61,16 @@
         self.message_latency_objective = max(MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS, shortest)
         self.session_group_cost = settings.session_group_cost if settings.session_groups else 0.0
         # 0 for a usual number of balancers, towards 1 for many.
-        self.fleet_factor = max(0.0, 1 - USUAL_BALANCER_COUNT / settings.balancer_count)
+        self.many_balancers_weight = max(0.0, 1 - USUAL_BALANCER_COUNT / settings.balancer_count)
         self.tenant_quotas.quotas = settings.tenant_connection_quotas
         self.uses_load_reports = uses_load_reports(settings)
-        # Number of balancers whose load `Server.load` includes.
+        # The number of balancers whose load `Server.load` includes.
         self.balancers_in_load = settings.balancer_count if self.uses_load_reports else 1
 
     @property
     def sees_little(self) -> bool:
         """Whether this is one of many balancers and holds less than a connection per server."""
-        return self.fleet_factor > 0 and len(self.requests) < self.ready_count
+        return self.many_balancers_weight > 0 and len(self.requests) < self.ready_count
 
     def pools_of(self, server: Server) -> tuple[ServerPool, ...]:
         """Return the pools that a server belongs to."""
--- a/aspensaddle/core/capacity_shortage.py
+++ b/aspensaddle/core/capacity_shortage.py
@@ -1,7 +1,8 @@
 """Capacity shortage of the fleet by the endpoint list and by lost connections, and the heaviest load allowed in it.
 
-Loads are seconds of a standard core per second. They are uneven: a twentieth of the connections may ask for a third
-of the work. All balancers find the same shortage, because it follows from the list.
+Loads are seconds of a standard core per second. A few heavy connections may ask for much of the work, so that they
+are the first to leave. What the list tells is the same for all balancers; lost connections and the number of
+connections are this balancer's own.
 """
 
 from __future__ import annotations
@@ -40,20 +41,20 @@
         self,
         servers: Sequence[ServerCapacity],
         fleet_connections: int,
-        unseen_fraction: float,
+        weight: float,
         lost_connections: float,
         mean_load: float = 0.0,
     ) -> None:
         """Compute both figures anew, in O(n).
 
         `servers` include those that drain or warm up. `fleet_connections` is an estimate for the whole fleet,
-        `unseen_fraction` how little this balancer sees of the servers (0 to 1), `lost_connections` a decaying count,
-        `mean_load` that of connections, 0 where too few were reported.
+        `weight` 0 where the shortage does not apply and towards 1 for many balancers, `lost_connections` a decaying
+        count, `mean_load` that of connections, 0 where too few were reported.
         """
         listed = sum(server.listed for server in servers)
         lacking = 1 - sum(server.available for server in servers) / listed if listed else 0.0
-        self.missing = unseen_fraction * min(1.0, lacking / SPARE_CAPACITY_FRACTION)
-        by_losses = unseen_fraction * LOST_CONNECTIONS_WEIGHT * lost_connections / (1 + lost_connections)
+        self.missing = weight * min(1.0, lacking / SPARE_CAPACITY_FRACTION)
+        by_losses = weight * LOST_CONNECTIONS_WEIGHT * lost_connections / (1 + lost_connections)
         shortage = max(self.missing, by_losses)
         allowed = max(
             FAIR_SHARE_FRACTION * listed / max(1, fleet_connections),
--- a/aspensaddle/core/driver.py
+++ b/aspensaddle/core/driver.py
@@ -259,8 +259,8 @@
                 share=round(server.share, 4),
                 sends=server.window.sends,
                 accepts=server.window.accepts,
-                ejected=round(max(0.0, server.ejected_until - now), 2),
-                slow=round(max(0.0, server.slow_until - now), 2),
+                ejected_seconds=round(max(0.0, server.ejected_until - now), 2),
+                slow_seconds=round(max(0.0, server.slow_until - now), 2),
             )
             for server in self.balancer.servers.values()
         }
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -12,11 +12,12 @@
 from aspensaddle.core.passive_measurement import PassiveMeasurement
 from aspensaddle.core.server_pool import ServerPool
 from aspensaddle.core.server_state import Server
+from aspensaddle.core.slow_responses import SLOW_FRACTION
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
-SLOW_FRACTION = 1 / 3  # of the shortest message latency objective, from which a server is slow
 SLOW_SECONDS = 2.5  # without a further report; reports come once a second
-ASSUMED_WELL_SERVERS = 4  # where a balancer sees little: servers that it takes to be well besides those it sees
+ASSUMED_NOT_SLOW_SERVERS = 1  # besides those seen, because one slow server of few would weigh too much
+ASSUMED_NOT_SLOW_SERVERS_SPARSE = 4  # further ones, where a balancer holds few connections
 
 
 class LatencyOutliers:
@@ -33,27 +34,29 @@
     def report(self, now: float, server: Server, latency: float) -> bool:
         """Take a report of `latency` seconds; return whether the server is slow.
 
-        With many balancers a server stays marked longer, so that all together try it as often as a few would.
+        With many balancers a server without connections here stays marked longer, so that all balancers together try
+        it as often as a few would.
         """
         is_slow = latency >= self._state.message_latency_objective * SLOW_FRACTION
         was_slow = server.slow_until > now
-        lasts = SLOW_SECONDS * max(1.0, self._state.settings.balancer_count / USUAL_BALANCER_COUNT)
+        mark_seconds = SLOW_SECONDS * max(1.0, self._state.settings.balancer_count / USUAL_BALANCER_COUNT)
         server.latency_reported_at = now
-        server.slow_until = now + lasts if is_slow else now
+        server.slow_until = now + mark_seconds if is_slow else now
         if is_slow != was_slow:
             self._rotation.place(now, server)
         self._passive_measurement.count(server, accepted=not is_slow)
         return is_slow
 
-    def clear_silent(self, now: float, server: Server) -> None:
-        """End the mark of a server whose connections have stopped reporting."""
-        if server.connections and now > server.latency_reported_at + SLOW_SECONDS:
-            server.slow_until = min(server.slow_until, now)
+    def clear_silent(self, now: float) -> None:
+        """End the mark of servers whose connections have stopped reporting."""
+        for server in self._rotation.unsettled.values():
+            if server.connections and now > server.latency_reported_at + SLOW_SECONDS:
+                server.slow_until = min(server.slow_until, now)
 
     def survey(self, now: float) -> None:
-        """Count how many of the servers that hold this balancer's connections are slow.
+        """Update the slow fraction of each pool, by the servers that hold this balancer's connections.
 
-        Some more are assumed to be well, because one of few would weigh too much.
+        Also updates the other counts over all servers: those that warm up, and the connections by reports.
         """
         state = self._state
         state.reported_connections = sum(server.reported.connections for server in state.servers.values())
@@ -61,11 +64,11 @@
             server.is_ready and state.capacity_fraction(now, server) < 1.0 for server in state.servers.values()
         )
         seen, slow = self._count_seen(now)
-        assumed_well = 1 + ASSUMED_WELL_SERVERS * state.sees_little
+        assumed = ASSUMED_NOT_SLOW_SERVERS + ASSUMED_NOT_SLOW_SERVERS_SPARSE * state.sees_little
         for pool in (state.local_pool, state.fleet_pool):
-            pool.slow_fraction = slow[pool] / (seen[pool] + assumed_well)
+            pool.slow_fraction = slow[pool] / (seen[pool] + assumed)
         seen_fraction = seen[state.fleet_pool] / max(1, state.ready_count)
-        state.unseen_fraction = state.fleet_factor * max(0.0, 1 - seen_fraction)
+        state.unseen_weight = state.many_balancers_weight * max(0.0, 1 - seen_fraction)
 
     def _count_seen(self, now: float) -> tuple[Counter[ServerPool], Counter[ServerPool]]:
         """Return how many servers with connections each pool has, and how many of these are slow."""
--- a/aspensaddle/core/load_accounting.py
+++ b/aspensaddle/core/load_accounting.py
@@ -13,7 +13,7 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 MAX_LOAD_SAMPLES = 100  # the mean is one over so many connections and follows a change of traffic
-MAX_MEAN_DRIFT = 0.8  # of the mean load at the last layout, or its inverse, before servers are laid out anew
+MIN_MEAN_LOAD_RATIO = 0.8  # to the mean load at the last layout, or its inverse, before the rotation is rebuilt
 
 
 class LoadAccounting:
@@ -56,7 +56,7 @@
             self._rotation.queue(server)
 
     def weigh(self, server: Server) -> float:
-        """Return the load of a server: this balancer's, or by its reports that of all balancers."""
+        """Update this balancer's load of a server; return its load, by its reports that of all balancers."""
         state = self._state
         assumed_connections = server.connections_of_unknown_load + state.session_group_cost * len(
             server.session_groups
@@ -77,17 +77,17 @@
         state.load_samples = min(state.load_samples + 1, MAX_LOAD_SAMPLES)
         state.mean_load += (load - state.mean_load) / state.load_samples
         at_layout = self._rotation.mean_load_at_layout
-        if not MAX_MEAN_DRIFT * at_layout <= state.mean_load <= at_layout / MAX_MEAN_DRIFT:
+        if not MIN_MEAN_LOAD_RATIO * at_layout <= state.mean_load <= at_layout / MIN_MEAN_LOAD_RATIO:
             self._rotation.lay_out(now, self.weigh)
 
     def smooth_typical_load(self) -> None:
-        """Follow the mean load of a ready server, once a tick."""
+        """Follow the load per ready server, once a tick."""
         state = self._state
-        level = state.total_load / max(1, state.ready_count)
+        mean_server_load = state.total_load / max(1, state.ready_count)
         if state.typical_server_load:
-            state.typical_server_load += (level - state.typical_server_load) / WINDOW_SLOTS
+            state.typical_server_load += (mean_server_load - state.typical_server_load) / WINDOW_SLOTS
         else:
-            state.typical_server_load = level
+            state.typical_server_load = mean_server_load
 
     def mean_own_load(self) -> float:
         """Return the mean load of this balancer's connections, the sampled mean without any."""
--- a/aspensaddle/core/load_reports.py
+++ b/aspensaddle/core/load_reports.py
@@ -16,8 +16,8 @@
 SMOOTHED_REPORTS = 4  # a capacity is a running mean over so many reports
 MIN_CONNECTIONS = 5.0  # below these two a report says nothing of the capacity
 MIN_UTILIZATION = 0.02
-MAX_UTILIZATION = 1e3
-MAX_CONNECTIONS = 1e9
+MAX_PLAUSIBLE_UTILIZATION = 1e3
+MAX_PLAUSIBLE_CONNECTIONS = 1e9
 HEALTH_CHECK_COST_FRACTION = 0.005  # of the operators' score, for all health checks together
 DEFAULT_CHECK_INTERVAL_SECONDS = 5.0
 
@@ -33,7 +33,7 @@
     connections: float = 0.0
     checked_at: float = float("-inf")
 
-    def take_turn(self, now: float, interval: float) -> bool:
+    def mark_check_sent_if_due(self, now: float, interval: float) -> bool:
         """Return whether a health check is due after `interval` seconds, and count it as sent."""
         if now < self.checked_at + interval:
             return False
@@ -49,7 +49,9 @@
         """
         utilization = report.get(UTILIZATION_FIELD, -1.0) if report else -1.0
         connections = report.get(CONNECTIONS_FIELD, -1.0) if report else -1.0
-        if not (0 <= utilization < MAX_UTILIZATION and 0 <= connections < MAX_CONNECTIONS):  # NaN too
+        if not (
+            0 <= utilization < MAX_PLAUSIBLE_UTILIZATION and 0 <= connections < MAX_PLAUSIBLE_CONNECTIONS
+        ):  # NaN too
             return False
         if connections >= MIN_CONNECTIONS and utilization >= MIN_UTILIZATION:
             weight = SMOOTHED_REPORTS if self.connection_capacity else 1
@@ -75,7 +77,7 @@
     """Return the seconds between two health checks of a server.
 
     All checks together cost `HEALTH_CHECK_COST_FRACTION` of the score at the settings' price, whatever the number of
-    balancers. `requests_per_second` come to this balancer.
+    balancers. `requests_per_second` are admitted by this balancer.
     """
     if requests_per_second <= 0:
         return DEFAULT_CHECK_INTERVAL_SECONDS
--- a/aspensaddle/core/membership.py
+++ b/aspensaddle/core/membership.py
@@ -9,9 +9,9 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 WATCH_TIMER = "watch"
-FIRST_WATCH_RETRY_SECONDS = 0.5
-MIN_LONGEST_WATCH_RETRY_SECONDS = 1.0
-MAX_BACKOFF_DOUBLINGS = 10
+WATCH_RETRY_BASE_SECONDS = 0.5
+MIN_WATCH_RETRY_CAP_SECONDS = 1.0
+MAX_BACKOFF_DOUBLINGS = 10  # keeps the power small; the cap is reached before
 
 
 class Membership:
@@ -30,12 +30,12 @@
     def retry_watch(self) -> SetTimer:
         """Return the timer of the next watch after a failed one, by exponential backoff with jitter.
 
-        A list that is pushed comes from an agent of this balancer alone, which may be asked often.
+        With pushed lists the watch goes to a local agent, so that the longest wait is short.
         """
         self._failed_watches += 1
         longest = self._state.rules.poll_interval if self._state.settings.polls_discovery else 0.0
         doublings = min(self._failed_watches, MAX_BACKOFF_DOUBLINGS)
-        wait = min(max(MIN_LONGEST_WATCH_RETRY_SECONDS, longest), FIRST_WATCH_RETRY_SECONDS * 2**doublings)
+        wait = min(max(MIN_WATCH_RETRY_CAP_SECONDS, longest), WATCH_RETRY_BASE_SECONDS * 2**doublings)
         return SetTimer(WATCH_TIMER, self._state.random.uniform(wait / 2, wait))
 
     def update(self, now: float, event: EndpointsChanged) -> bool:
@@ -72,7 +72,7 @@
         return server if changed else None
 
     def _reset(self, now: float, changed: list[Server]) -> None:
-        """Let servers join at the mean ratio with a clean record, and others leave."""
+        """Let servers join at the mean ratio without failures, and others leave. Counts and reports stay."""
         for server in changed:
             server.is_ready = server.is_ready and server.id in self._state.servers
             server.ratio = 0.0
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -1,19 +1,19 @@
 """Migration: which open connections are asked to reconnect, to move their load to other servers.
 
-A migrated client comes back as a new request. Each connection is asked once.
+A migrated client comes back as a new request. Each connection is asked once: it then leaves `Server.connections`.
 """
 
 from __future__ import annotations
 
 from aspensaddle.core.actions import Migrate
-from aspensaddle.core.attempt_window import WINDOW_SLOTS
 from aspensaddle.core.balancer_state import BalancerState
 from aspensaddle.core.capacity_shortage import ServerCapacity
 from aspensaddle.core.server_state import Server
 
 REBALANCE_FRACTION = 0.1  # of a server's connections that leave per tick or report, at most
-REBALANCE_MIN_LOAD_PER_CORE = 0.3  # of a core, for each listed core, from which a server may lose connections
-REBALANCE_MIN_EXCESS = 1.5  # of the fleet's load per share, the same
+REBALANCE_MIN_LOAD_PER_CORE = 0.3  # load in cores for each listed core, from which a server may lose connections
+REBALANCE_MIN_LOAD_RATIO = 1.5  # to the mean load per share of all servers, the same
+MIN_LOAD_SAMPLES = 10  # connections with a known load, below which the mean load says too little
 MAX_UTILIZATION = 0.95  # of a server's reported capacity; the excess leaves
 
 
@@ -37,7 +37,7 @@
         if not 0 < fleet_load < float("inf"):
             return []
         server = max(loaded, key=lambda server: server.next_turn)
-        excess = server.next_turn / (REBALANCE_MIN_EXCESS * fleet_load) - 1
+        excess = server.next_turn / (REBALANCE_MIN_LOAD_RATIO * fleet_load) - 1
         return self._migrate_fraction(server, REBALANCE_FRACTION * min(1.0, excess))
 
     def _is_loaded(self, server: Server) -> bool:
@@ -48,12 +48,12 @@
     def off_slow_server(self, server: Server, latency: float) -> list[Migrate]:
         """Migrate off a slow server, by how slow it is.
 
-        Only balancers with connections there know of it while the others go on placing, so that the part is raised by
-        how little a balancer sees.
+        Balancers without connections there do not know of it and keep placing, so that more is migrated the less of
+        the fleet this balancer sees.
         """
         state = self._state
         slowness = min(1.0, latency / state.message_latency_objective)
-        return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unseen_fraction) * slowness)
+        return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unseen_weight) * slowness)
 
     def off_overloaded_server(self, server: Server) -> list[Migrate]:
         """Migrate what a server reports to be asked beyond its capacity."""
@@ -84,7 +84,7 @@
         return []
 
     def _update_shortage(self, now: float) -> None:
-        """Find the shortage where loads are listed sizes and no reports tell them."""
+        """Find the shortage. It applies to many balancers that see little, with listed sizes and without reports."""
         state = self._state
         applies = state.sees_little and state.settings.weights_are_sizes and not state.uses_load_reports
         capacities = [
@@ -94,9 +94,9 @@
         state.shortage.update(
             capacities,
             fleet_connections=state.settings.balancer_count * len(state.requests),
-            unseen_fraction=state.fleet_factor * applies,
+            weight=state.many_balancers_weight * applies,
             lost_connections=state.lost_connections,
-            mean_load=state.mean_load if state.load_samples >= WINDOW_SLOTS else 0.0,
+            mean_load=state.mean_load if state.load_samples >= MIN_LOAD_SAMPLES else 0.0,
         )
 
     def _migrate_fraction(self, server: Server, fraction: float) -> list[Migrate]:
--- a/aspensaddle/core/outlier_ejection.py
+++ b/aspensaddle/core/outlier_ejection.py
@@ -1,8 +1,8 @@
 """Outlier ejection: servers that fail get no attempts for a time that backs off.
 
-A server is ejected when it cannot be reached or fails twice in a row. When the time is over it gets one attempt
-(half-open) until that has ended. One that drops connections as soon as they are established stays under suspicion
-until a connection has held for `HOLD_SECONDS`.
+A server is ejected when it cannot be reached, or after two failures in a row; timeouts do not count. When the time is
+over it gets one attempt (half-open). One that drops connections as soon as they are established is readmitted only
+after a connection has held for `HOLD_SECONDS`.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 FIRST_EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 16.0
-MAX_BACKOFF_DOUBLINGS = 10
+MAX_BACKOFF_DOUBLINGS = 10  # keeps the power small; the maximum is reached before
 EJECTION_JITTER = (0.75, 1.25)  # balancers do not all return at once
 HOLD_SECONDS = 2.0  # a connection that held for so long was not dropped as soon as it was established
 AVOIDANCE_SECONDS = 15.0  # in which a server recovers that lost a connection while capacity was missing
 LOST_CONNECTIONS_DECAY = 0.9  # per tick
 
-NOT_THE_SERVERS_FAULT = (Outcome.OK, Outcome.NOT_SENT, Outcome.CANCELLED)
+NEUTRAL_OUTCOMES = (Outcome.OK, Outcome.NOT_SENT, Outcome.CANCELLED)
 
 
 class OutlierEjection:
@@ -33,7 +33,7 @@
         self._rotation = rotation
 
     def attempt_started(self, now: float, server: Server, time_left: float) -> None:
-        """Keep a half-open server from further attempts until this one has ended."""
+        """Keep a half-open server from further attempts until this one is accepted or its time is over."""
         if server.ejected_until:
             server.ejected_until = max(server.ejected_until, now + time_left)
             self._rotation.place(now, server)
@@ -50,11 +50,14 @@
         self._rotation.place(now, server)
 
     def attempt_failed(self, now: float, request: RequestState, server: Server, outcome: Outcome) -> None:
-        """Take a failed attempt or a lost connection into account. A timeout may be the backend store's fault."""
+        """Take a failed attempt or a lost connection into account.
+
+        A timeout does not count as a failure: it may be the fault of what the server depends on.
+        """
         lost = request.is_established and outcome is Outcome.CONNECTION_LOST
         if lost:
             self._state.lost_connections += server.is_ready
-            server.avoided_until = now + AVOIDANCE_SECONDS * (self._state.shortage.missing > 0)
+            server.avoided_until = now + (AVOIDANCE_SECONDS if self._state.shortage.missing > 0 else 0.0)
         failed = not request.is_established and outcome is not Outcome.TIMED_OUT
         if lost and now < request.established_at + HOLD_SECONDS:
             # It carries nothing, so that its turn would always come, and its clients would return to it.
--- a/aspensaddle/core/request_rate.py
+++ b/aspensaddle/core/request_rate.py
@@ -1,9 +1,8 @@
-"""Rate of the requests that come to this balancer, with a prior for a process that has just started."""
+"""Rate of the requests that this balancer admits, with a prior for a process that has just started."""
 
 from __future__ import annotations
 
-PRIOR_REQUESTS_PER_SECOND = 10.0  # the operators' pages: some tens at most
-PRIOR_WEIGHT_FLOOR = 0.01  # keeps the prior's weight above zero
+PRIOR_DENOMINATOR = 0.01  # of a process that has seen nothing: gives ten requests per second over ten ticks
 
 
 class RequestRate:
@@ -31,4 +30,4 @@
     def observed(self) -> float:
         """Return requests per second by what was seen, and the prior where next to nothing was."""
         seen = self._count - (self._span - 1) * self._unseen
-        return seen / (self._span * (1 + PRIOR_WEIGHT_FLOOR - self._unseen))
+        return seen / (self._span * (1 + PRIOR_DENOMINATOR - self._unseen))
--- a/aspensaddle/core/server_selection.py
+++ b/aspensaddle/core/server_selection.py
@@ -1,32 +1,35 @@
 """Server selection: asks the rules in order which server the next attempt of a request goes to.
 
-1. The preferred servers of its session group or affinity key (`affinity`), in the local zone first (`locality`).
-2. The server whose turn it is (`weighted_rotation`), in the local zone first.
-3. The same with slow servers, then with ejected servers and those that were tried.
+1. In the local zone, if that is preferred (`locality`): a preferred server of the session group or affinity key
+   (`affinity`), else the server whose turn it is (`weighted_rotation`).
+2. The same among all servers. Groups with preferred servers by the endpoint list begin here.
+3. By turn, slow servers too; then ejected servers and those that were tried.
 
 Every server has to pass `may_attempt`: the retry policy, slow start and the utilization limit.
 """
 
 from __future__ import annotations
 
-from bisect import bisect
 from itertools import chain, islice
 
 from aspensaddle.core.actions import RejectReason
 from aspensaddle.core.affinity import rendezvous_order
 from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.hash_ring import HashRing
 from aspensaddle.core.locality import prefers_local_zone
 from aspensaddle.core.request_state import RequestState
 from aspensaddle.core.retry_policy import may_retry_on
 from aspensaddle.core.server_pool import ServerPool
-from aspensaddle.core.server_state import RING_POINTS, Server
+from aspensaddle.core.server_state import Server
 from aspensaddle.core.slow_start import SlowStart
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
-MAX_GROUP_EXCESS = 1.1  # of its pool's load per share, up to which a server may be loaded to keep a group together
-MAX_KEY_EXCESS = 1.5  # the same, to be found again by an affinity key
+MAX_GROUP_LOAD_RATIO = (
+    1.1  # to its pool's load per share, up to which a server may be loaded to keep a group together
+)
+MAX_KEY_LOAD_RATIO = 1.5  # the same, to be found again by an affinity key
 MAX_RING_STEPS = 16  # points of the ring that a group or key looks at
-RECONNECT_WAIT_FRACTION = 0.6  # of reconnecting clients, when their preferred server has reached its limit
+RECONNECT_REJECT_FRACTION = 0.6  # of reconnecting clients, when their preferred server has reached its limit
 RANDOM_KEY_BITS = 32
 
 
@@ -78,7 +81,8 @@
     def _preferred(self, now: float, pool: ServerPool, request: RequestState) -> Server | None:
         """Return a preferred server of the request's session group.
 
-        Where packets are passed on unread, affinity keys do the same: a connection finds its server at any balancer.
+        Where packets are passed on unread, affinity keys do the same: a connection mostly finds its server at any
+        balancer.
         """
         group = request.request.session_group
         key = request.request.affinity_key if group is None and self._state.settings.pass_through else group
@@ -100,7 +104,7 @@
         if state.shortage.missing:  # while servers come and go, a client finds its server again
             client = request.request.affinity_key or state.random.getrandbits(RANDOM_KEY_BITS)
             preferred = rendezvous_order(client, preferred)
-        if self._must_wait_for(now, request, preferred):
+        if self._is_rejected_until_warm(now, request, preferred):
             request.no_server_reason = RejectReason.AFFINITY_SERVER_WARMING_UP
             return None
         for server in chain(preferred, walk):
@@ -108,29 +112,26 @@
                 return server
         return None
 
-    def _must_wait_for(self, now: float, request: RequestState, preferred: list[Server]) -> bool:
-        """Return whether a reconnecting client waits for its server that is warming up.
+    def _is_rejected_until_warm(self, now: float, request: RequestState, preferred: list[Server]) -> bool:
+        """Return whether a reconnecting client is rejected, to retry when its server has warmed up further.
 
         What this server cannot take yet would overload the group's other servers.
         """
         if not request.request.reconnecting or request.attempts:
             return False
-        waits = self._state.random.random() < RECONNECT_WAIT_FRACTION
-        if not waits or not preferred or not preferred[0].is_available:
+        drawn = self._state.random.random() < RECONNECT_REJECT_FRACTION
+        if not drawn or not preferred or not preferred[0].is_available:
             return False
         return self._slow_start.holds_back(now, request, preferred[0])
 
     def _preferred_within_load(self, now: float, pool: ServerPool, key: int, request: RequestState) -> Server | None:
         """Return the first server on the ring that is not loaded much above its pool."""
-        excess = MAX_KEY_EXCESS if request.request.session_group is None else MAX_GROUP_EXCESS
-        limit = excess * pool.load_per_share()
+        max_ratio = MAX_KEY_LOAD_RATIO if request.request.session_group is None else MAX_GROUP_LOAD_RATIO
+        limit = max_ratio * pool.load_per_share()
         if not pool.ring:
             servers = {server.id: server for _, _, server in pool.turns}
-            pool.ring = sorted(point for server in servers.values() for point in server.ring_points)
-        ring = pool.ring
-        start = bisect(ring, (hash((key, RING_POINTS)), 0))
-        for index in range(start, start + min(len(ring), MAX_RING_STEPS)):
-            server = ring[index % len(ring)][2]
+            pool.ring = HashRing(servers.values())
+        for server in pool.ring.walk(key, MAX_RING_STEPS):
             if not server.is_available or server.next_turn > limit or server.id in request.tried_servers:
                 continue
             if self.may_attempt(now, request, server):
--- a/aspensaddle/core/server_snapshot.py
+++ b/aspensaddle/core/server_snapshot.py
@@ -14,5 +14,5 @@
     share: float
     sends: int
     accepts: int
-    ejected: float  # remaining
-    slow: float  # remaining
+    ejected_seconds: float  # remaining
+    slow_seconds: float  # remaining
--- a/aspensaddle/core/server_state.py
+++ b/aspensaddle/core/server_state.py
@@ -25,7 +25,7 @@
         self.is_ready = False
         # Rotation.
         self.rotation_offset = rotation_offset
-        self.ratio = 0.0  # part of new connections by passive measurement, before `raised`
+        self.ratio = 0.0  # fraction of new connections; `WeightedRotation.raised` comes on top
         self.share = 0.0  # the ratio by weight and warm-up
         self.next_turn = 0.0  # load per share at which its turn comes
         self.is_available = False  # counts in the sums of its pools
@@ -46,11 +46,11 @@
         self.own_load = 0.0  # of this balancer
         self.load = 0.0  # the same, or by reports that of all balancers
         self.session_groups = Counter[int]()  # of connections and attempts
-        self.connections: dict[str, RequestState] = {}  # established, by request id
-        self.attempted_at = 0.0  # last attempt
+        self.connections: dict[str, RequestState] = {}  # established and not asked to migrate, by request id
+        self.last_attempt_at = 0.0
 
     def update(self, endpoint: Endpoint, core_speeds: tuple[float, ...]) -> None:
-        """Take what the list says now."""
+        """Take weight, start and state from the list; zone and cell stay."""
         self.weight = endpoint.weight
         if 0 <= endpoint.machine_type < len(core_speeds):
             self.weight *= core_speeds[endpoint.machine_type]
--- a/aspensaddle/core/slow_responses.py
+++ b/aspensaddle/core/slow_responses.py
@@ -7,7 +7,7 @@
 from aspensaddle.core.settings import Settings
 
 REPORT_INTERVAL_SECONDS = 1.0  # as often as servers report their latency themselves
-SLOW_FRACTION = 1 / 3  # of the shortest message latency objective
+SLOW_FRACTION = 1 / 3  # of the shortest message latency objective, from which a server is slow
 
 
 class _ServerResponses:
@@ -42,8 +42,8 @@
     def record(self, now: float, server: int, delay: float) -> float | None:
         """Note one response delay; return the latency to report for the server, if one is due.
 
-        The median keeps one late response from counting. This process's own lag is taken off: under load it would
-        make every server look slow.
+        A latency is due when the server is slow, or was slow at the last report. The median keeps one late response
+        from counting. This process's own lag is taken off: under load it would make every server look slow.
         """
         responses = self._servers.setdefault(server, _ServerResponses())
         responses.delays.append(delay)
--- a/aspensaddle/core/slow_start.py
+++ b/aspensaddle/core/slow_start.py
@@ -11,12 +11,12 @@
 from aspensaddle.core.request_state import RequestState
 from aspensaddle.core.server_state import Server
 
-POPULARITY_FACTOR = (
-    3.0  # even parts of what comes that one server may get: groups' shares are known from few requests
-)
+POPULARITY_FACTOR = 3.0  # safety on the mean fraction of a server: group shares are estimated from few requests
+
 PRIOR_REQUESTS_OF_OTHER_GROUPS = 2
-MIN_REQUESTS_PER_WINDOW = 0.1  # of the overload window: what is always allowed
+MIN_REQUESTS_PER_SECOND = 0.1  # over the overload window in seconds: what is always allowed
 MIN_ALLOWED_LOAD_RATE = 1e-9  # keeps divisions defined
+ATTEMPT_INTERVAL_FACTOR = 2  # with few balancers, half of what the rules allow
 
 
 class SlowStart:
@@ -36,7 +36,7 @@
             return False
         allowed = self._allowed_load_rate(server, warmth)
         request.slow_start_draw = request.slow_start_draw or self._state.random.random()
-        too_soon = now < server.attempted_at + self._min_attempt_interval(request, allowed)
+        too_soon = now < server.last_attempt_at + self._min_attempt_interval(request, allowed)
         held_back = too_soon or request.slow_start_draw * self._offered_load_rate(request) >= allowed
         if held_back:
             request.no_server_reason = RejectReason.SLOW_START_LIMIT
@@ -50,7 +50,7 @@
         typical = state.typical_server_load * state.settings.balancer_count / state.balancers_in_load
         capacity = state.reported_capacity or listed or typical
         allowed = rules.overload_multiple * capacity * warmth / rules.slow_start_duration
-        minimum = MIN_REQUESTS_PER_WINDOW * state.mean_load / max(1.0, rules.overload_window)
+        minimum = MIN_REQUESTS_PER_SECOND * state.mean_load / max(1.0, rules.overload_window)
         return max(allowed, minimum, MIN_ALLOWED_LOAD_RATE)
 
     def _offered_load_rate(self, request: RequestState) -> float:
@@ -73,7 +73,7 @@
         """Return the seconds between two attempts of this balancer at one server that is warming up."""
         if request.preferred_server_count:
             return self._state.mean_load / allowed
-        return 2 * self._load_of_one_request_each() / allowed
+        return ATTEMPT_INTERVAL_FACTOR * self._load_of_one_request_each() / allowed
 
     def _load_of_one_request_each(self) -> float:
         return self._state.settings.balancer_count * self._state.mean_load
--- a/aspensaddle/core/tenant_quotas.py
+++ b/aspensaddle/core/tenant_quotas.py
@@ -23,7 +23,7 @@
         if not self._held[tenant]:
             del self._held[tenant]  # bounds memory by the tenants that hold connections
 
-    def is_exceeded(self, tenant: int, own_connections: int, all_connections: float, balancer_count: int) -> bool:
+    def is_reached(self, tenant: int, own_connections: int, all_connections: float, balancer_count: int) -> bool:
         """Return whether a tenant has reached this balancer's part of its quota.
 
         `all_connections` are those of all balancers, 0 where that is not known.
--- a/aspensaddle/core/weighted_rotation.py
+++ b/aspensaddle/core/weighted_rotation.py
@@ -10,13 +10,21 @@
 from heapq import heappop, heappush
 
 from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.hash_ring import HashRing
 from aspensaddle.core.request_state import RequestState
 from aspensaddle.core.server_pool import ServerPool
 from aspensaddle.core.server_state import Server
 
+LIVE_WEIGHT_EXPONENT = 2
+
 MayAttempt = Callable[[float, RequestState, Server], bool]
 
 
+def is_unmarked(now: float, server: Server) -> bool:
+    """Return whether a server is neither ejected nor marked as slow."""
+    return server.ejected_until <= now and server.slow_until <= now
+
+
 class WeightedRotation:
     """Keeps shares, turns and the sums of the pools, and finds the server whose turn it is.
 
@@ -33,7 +41,10 @@
         self.unsettled: dict[int, Server] = {}
 
     def rescale_ratios(self) -> None:
-        """Let ready servers without a ratio enter at the mean one, and scale all to a sum of 1."""
+        """Let ready servers without a ratio enter at the mean one, and scale the stored ratios to a sum of 1.
+
+        Also counts the ready servers and drops the pools' hash rings. `raised` is added at the next layout.
+        """
         state = self._state
         ready = [server for server in state.servers.values() if server.is_ready]
         known = [server.ratio for server in ready if server.ratio]
@@ -43,11 +54,11 @@
         total = sum(server.ratio for server in ready)
         for server in ready:
             server.ratio /= total
-        state.local_pool.ring = []
-        state.fleet_pool.ring = []
+        state.local_pool.ring = HashRing()
+        state.fleet_pool.ring = HashRing()
 
     def lay_out(self, now: float, weigh: Callable[[Server], float]) -> None:
-        """Place all servers anew, with their load as `weigh` gives it."""
+        """Rebuild the rotation: place all servers anew, with their load as `weigh` returns it."""
         state = self._state
         raised = self.raised
         self.raised = 0.0
@@ -70,7 +81,7 @@
             for pool in pools:
                 pool.remove(server)
         warmth = self._update_share(now, server)
-        server.is_available = server.share > 0 and server.ejected_until <= now and server.slow_until <= now
+        server.is_available = server.share > 0 and is_unmarked(now, server)
         if server.is_available:
             for pool in pools:
                 pool.add(server)
@@ -84,16 +95,22 @@
         """Set the share; return the capacity fraction that it was reduced by."""
         state = self._state
         warmth = state.capacity_fraction(now, server)
-        # Live weights fall as 1 / (1 + load): squared, because slow machine types would settle at too high a load.
-        weight = max(0.0, server.weight) ** (1 + state.settings.live_weights)
-        if state.uses_load_reports:  # reports tell what the server can do now, warm or not
+        # Live weights are 1 / (1 + load): squared, so that slow machine types settle at a lower load.
+        weight = max(0.0, server.weight) ** (LIVE_WEIGHT_EXPONENT if state.settings.live_weights else 1)
+        if state.uses_load_reports:  # a reported capacity is what the server can do now, warm or not
             weight = server.reported.capacity or (state.reported_capacity or 1.0) * warmth
             warmth = 1.0
         server.share = (server.ratio + self.raised) * weight * warmth if server.is_ready else 0.0
         return warmth
 
+    def refresh_unsettled(self, now: float, *, by_warm_up: bool) -> None:
+        """Place servers again whose availability has changed with time, and with `by_warm_up` all that warm up."""
+        for server in list(self.unsettled.values()):
+            if by_warm_up or server.is_available != is_unmarked(now, server):
+                self.place(now, server)
+
     def queue(self, server: Server) -> None:
-        """Queue a server's next turn. Its earlier entries become void."""
+        """Queue a server's next turn, which is its load per share too. Its earlier entries become void."""
         state = self._state
         server.next_turn = (server.load + server.rotation_offset * state.mean_load) / server.share
         for pool in state.pools_of(server):
--- a/aspensaddle/simulator_adapter/wire.py
+++ b/aspensaddle/simulator_adapter/wire.py
@@ -1,6 +1,6 @@
 """The simulator's wire: JSON messages to events, and actions to JSON messages.
 
-The wire's field names are mapped to the core's terms here and nowhere else.
+The field names of events and actions are mapped to the core's terms here and nowhere else; `host` reads the envelope.
 """
 
 from __future__ import annotations
