--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -37,48 +37,48 @@
     return Endpoint(n, **more)
 
 
-class Driver:
+class BalancerHarness:
     """A balancer with a clock and a count of ids."""
 
     def __init__(self, servers: Any = 4, settings: Settings = SETTINGS, seed: int = 1, now: float = 1000.0):
-        self.b = Balancer(settings, seed)
+        self.balancer = Balancer(settings, seed)
         self.now = now
-        self.count = 0
-        self.b.handle(now, Started())
+        self.request_count = 0
+        self.balancer.handle(now, Started())
         entries = [entry(n) for n in range(1, servers + 1)] if isinstance(servers, int) else servers
         self.update_endpoints(*entries, scope=EndpointUpdateScope.CACHED)
 
     def update_endpoints(
         self, *entries: Endpoint, scope: EndpointUpdateScope = EndpointUpdateScope.INCREMENTAL
     ) -> list[Action]:
-        return self.b.handle(self.now, EndpointsChanged(scope, tuple(entries)))
+        return self.balancer.handle(self.now, EndpointsChanged(scope, tuple(entries)))
 
     def gone(self, n: int, state: ServerState = ServerState.GONE) -> None:
         self.update_endpoints(entry(n, state=state))
 
     def ask(self, cls: int = 0, left: float = 3.0, **more: Any) -> list[Action]:
-        self.count += 1
-        return self.b.handle(self.now, Request(f"r{self.count}", cls, left, **more))
+        self.request_count += 1
+        return self.balancer.handle(self.now, Request(f"r{self.request_count}", cls, left, **more))
 
-    def stand(self, send: Action, latency: float = 0.01) -> list[Action]:
+    def establish(self, send: Action, latency: float = 0.01) -> list[Action]:
         assert isinstance(send, StartAttempt)
-        n = self.b.requests[send.request_id].attempts - 1
-        return self.b.handle(self.now, ConnectionEstablished(send.request_id, n, send.server, latency))
+        n = self.balancer.requests[send.request_id].attempts - 1
+        return self.balancer.handle(self.now, ConnectionEstablished(send.request_id, n, send.server, latency))
 
     def end(self, send: Action, outcome: Outcome = Outcome.OK, finished: bool = False) -> list[Action]:
         assert isinstance(send, StartAttempt)
-        n = self.b.requests[send.request_id].attempts - 1
-        return self.b.handle(self.now, AttemptEnded(send.request_id, n, send.server, outcome, 0.01, finished))
+        n = self.balancer.requests[send.request_id].attempts - 1
+        return self.balancer.handle(self.now, AttemptEnded(send.request_id, n, send.server, outcome, 0.01, finished))
 
     def place(self, **more: Any) -> StartAttempt:
         (send,) = self.ask(**more)
         assert isinstance(send, StartAttempt)
-        self.stand(send)
+        self.establish(send)
         return send
 
     def lay_out(self) -> None:
-        self.b.rotation.lay_out(self.now, self.b.accounting.weigh)
+        self.balancer.rotation.lay_out(self.now, self.balancer.accounting.weigh)
 
     def tick(self, seconds: float = 1.0) -> list[Action]:
         self.now += seconds
-        return self.b.handle(self.now, TimerFired("tick"))
+        return self.balancer.handle(self.now, TimerFired("tick"))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -4,16 +4,16 @@
 
 import json
 import sys
-from pathlib import Path
 import tracemalloc
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
+from pathlib import Path
 from types import FrameType
 from typing import Any
 
 import pytest
-from helpers import SETTINGS, Driver, entry
+from helpers import SETTINGS, BalancerHarness, entry
 
 import aspensaddle.core
 from aspensaddle.core.events import ServerState
@@ -60,11 +60,11 @@
         )
     )
     fleet = Fleet(config.zones)
-    d = Driver(list(fleet.take(config.known)), config.settings)
-    assert len(d.b.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
+    d = BalancerHarness(list(fleet.take(config.known)), config.settings)
+    assert len(d.balancer.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
     changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
     d.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
-    assert len(d.b.servers) == len(fleet.addresses) == MANY
+    assert len(d.balancer.servers) == len(fleet.addresses) == MANY
     assert fleet.uid(d.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
 
 
@@ -111,7 +111,7 @@
     """A group that comes often looks at as many servers as its share of what came asks for."""
     cost: dict[int, list[int]] = {}
     for servers in (10, 1000):
-        d = Driver(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
+        d = BalancerHarness(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
         for n in range(5):
             d.place(load_hint=0.05, session_group=n)
         d.tick()
@@ -128,7 +128,7 @@
 def test_a_thousand_servers_fit_into_a_small_part_of_the_memory_that_is_given():
     tracemalloc.start()
     try:
-        d = Driver(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
+        d = BalancerHarness(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
         for n in range(200):
             d.place(load_hint=0.05, session_group=n % 40)
         assert tracemalloc.get_traced_memory()[1] < 16 << 20  # of 80 MB
