--- a/aspensaddle/frontends/line_protocol/clients.py
+++ b/aspensaddle/frontends/line_protocol/clients.py
@@ -17,9 +17,10 @@
 from aspensaddle.core.settings import Settings
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.frontends.line_protocol.admission import BATCH, Admission, Stage, Stay
-from aspensaddle.frontends.line_protocol.link import Broken, Link, TooLong
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, InvalidOpenError, LineTooLongError
+from aspensaddle.frontends.line_protocol.link import Link
 from aspensaddle.frontends.line_protocol.notes import Notes, Teller
-from aspensaddle.frontends.line_protocol.opening import BadOpen, Opened, parse_open
+from aspensaddle.frontends.line_protocol.opening import Opened, parse_open
 from aspensaddle.frontends.line_protocol.pending import COMMANDS, Pending
 from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.frontends.line_protocol.servers import Failed, Servers, Up, first_word
@@ -129,7 +130,7 @@
             try:
                 try:
                     ending = await self._visit(link, stay, since, passes)
-                except Broken:
+                except ConnectionBrokenError:
                     return
                 except Exception as e:
                     self.counters.add("faults")
@@ -137,7 +138,7 @@
                     # Also a request that a fault has hit gets its final answer.
                     ending = Ending(b"" if link.answered else b"ERR\r\n")
                 await self._end(link, stay, ending)
-            except Broken:
+            except ConnectionBrokenError:
                 pass
             finally:
                 link.close()
@@ -163,14 +164,14 @@
             if opened is None and stay.turned_out:
                 return Ending(self._busy())
             if opened is None and stay.first.cancelled_caught:
-                raise BadOpen("no whole first line in time")
+                raise InvalidOpenError("no whole first line in time")
             if opened is not None and opened.request.request_id in self.driver:
-                raise BadOpen("the id is in use")  # another's request, which goes on
+                raise InvalidOpenError("the id is in use")  # another's request, which goes on
             if opened is not None and link.holds(COMMANDS):
-                raise BadOpen("commands that did not wait for an answer")
-        except (BadOpen, TooLong) as e:
+                raise InvalidOpenError("commands that did not wait for an answer")
+        except (InvalidOpenError, LineTooLongError) as e:
             self.counters.add("bad first lines")
-            self.log.seldom("bad first line", why=str(e) or "too long")
+            self.log.seldom("bad first line", why=str(e))
             return Ending(b"ERR\r\n")
         if opened is None:
             return Ending()  # no whole line, no request
@@ -197,7 +198,7 @@
             if line.strip() != b"PING":
                 return parse_open(line, self.config.classes, self.config.settings.session_groups, self.config.tenants)
             if (pings := pings + 1) > PINGS:
-                raise BadOpen("too many commands")
+                raise InvalidOpenError("too many commands")
             self.counters.add("pings")
             await link.send(b"PONG\r\n")
         return None
@@ -394,7 +395,7 @@
 async def _watch(pending: Pending) -> None:
     try:
         await pending.watch()
-    except Broken:
+    except ConnectionBrokenError:
         pending.scope.cancel()
 
 
--- a/aspensaddle/frontends/line_protocol/link.py
+++ b/aspensaddle/frontends/line_protocol/link.py
@@ -9,19 +9,13 @@
 
 import trio
 
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
+
 LINE = 4096  # bytes of a line at most, its end included
 CHUNK = 4096
 LINGER = 65536  # bytes read at most after the last answer
 
 
-class TooLong(Exception):
-    """A line longer than the protocol allows."""
-
-
-class Broken(Exception):
-    """The connection was reset, or can't be used any more."""
-
-
 class Link:
     """One TCP connection with a buffer for what has come of a line."""
 
@@ -39,7 +33,7 @@
         try:
             data = await self.stream.receive_some(CHUNK)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            raise Broken from None
+            raise ConnectionBrokenError("receive") from None
         return self._take(bytes(data))
 
     def look(self) -> bool:
@@ -65,7 +59,7 @@
         """All whole lines that have come."""
         end = self._buffer.rfind(b"\n") + 1
         if len(self._buffer) - end >= LINE:
-            raise TooLong
+            raise LineTooLongError(len(self._buffer) - end, LINE)
         lines = bytes(self._buffer[:end])
         del self._buffer[:end]
         return lines
@@ -80,11 +74,11 @@
         """The next line with its end, or None where the connection ends before it."""
         while (end := self._buffer.find(b"\n") + 1) == 0:
             if len(self._buffer) >= LINE:
-                raise TooLong
+                raise LineTooLongError(len(self._buffer), LINE)
             if not await self.fill():
                 return None
         if end > LINE:
-            raise TooLong
+            raise LineTooLongError(end, LINE)
         line = bytes(self._buffer[:end])
         del self._buffer[:end]
         return line
@@ -106,21 +100,21 @@
             if data:
                 await self.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            raise Broken from None
+            raise ConnectionBrokenError("send") from None
 
     async def end_sending(self) -> None:
         self.sending_ended = True
         try:
             await self.stream.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-            raise Broken from None
+            raise ConnectionBrokenError("end of sending") from None
 
     async def linger(self, scope: trio.CancelScope) -> None:
         """Close so that what was sent arrives: a close over unread bytes would reset the connection and may take
         the last line with it. So the sending is ended first, and then read on until the other side has ended
         too, or `scope` is over. But only so much: guards against one that sends without end, at full speed, and
         would have this process do nothing else."""
-        with suppress(Broken), scope:
+        with suppress(ConnectionBrokenError), scope:
             await self.end_sending()
             most = LINGER
             while most > 0 and await self.fill():
--- a/aspensaddle/frontends/line_protocol/opening.py
+++ b/aspensaddle/frontends/line_protocol/opening.py
@@ -9,6 +9,7 @@
 from types import MappingProxyType
 
 from aspensaddle.core.events import Request
+from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
 from aspensaddle.support.hashing import stable_hash
 
 NO_TENANT = -1  # named, or none that is known: it has no share to be over
@@ -18,10 +19,6 @@
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
 
 
-class BadOpen(Exception):
-    """A first line that is none."""
-
-
 @dataclass(slots=True)
 class Opened:
     """A client's first line."""
@@ -41,26 +38,26 @@
     try:
         word, id, key, *rest = line.decode("ascii").rstrip("\r\n").split(" ")
     except (ValueError, UnicodeDecodeError):
-        raise BadOpen("not OPEN ID KEY NAME=VALUE,..") from None
+        raise InvalidOpenError("not OPEN ID KEY NAME=VALUE,..") from None
     if word != "OPEN" or not _WORD.fullmatch(id) or not _WORD.fullmatch(key) or len(rest) != 1:
-        raise BadOpen("not OPEN ID KEY NAME=VALUE,..")
+        raise InvalidOpenError("not OPEN ID KEY NAME=VALUE,..")
     values: dict[str, str] = {}
     for item in rest[0].split(","):
         name, equals, value = item.partition("=")
         if not name or not equals or name in values or not item.isprintable():
-            raise BadOpen(f"not NAME=VALUE: {item:.40}")
+            raise InvalidOpenError(f"not NAME=VALUE: {item:.40}")
         values[name] = value
     cls = classes.get(values.get("c", ""))
     if cls is None:
-        raise BadOpen("c names no class")
+        raise InvalidOpenError("c names no class")
     wait, hint = values.get("d"), values.get("h")
     # An empty d too: guards against a line whose d can't be written anew, which every runner answers ERR.
     if wait is None and "at" not in values or wait is not None and (not wait.isdigit() or len(wait) > 9):
-        raise BadOpen("d is not a number of milliseconds")
+        raise InvalidOpenError("d is not a number of milliseconds")
     load = None
     if hint is not None:
         if not _NUMBER.fullmatch(hint) or float(hint) >= 1e9:
-            raise BadOpen("h is not a number in range")
+            raise InvalidOpenError("h is not a number in range")
         load = float(hint)
     request = Request(
         id,
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -10,7 +10,8 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
-from aspensaddle.frontends.line_protocol.link import Broken, Link, TooLong
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
+from aspensaddle.frontends.line_protocol.link import Link
 from aspensaddle.frontends.line_protocol.notes import Load, Notes
 from aspensaddle.frontends.line_protocol.servers import first_word
 from aspensaddle.support.counters import Counters
@@ -62,10 +63,10 @@
     async def _guard(self, too_long: Outcome, pump: Callable[..., Awaitable[None]], *args: bytes) -> None:
         try:
             await pump(*args)
-        except Broken:
+        except ConnectionBrokenError:
             self.reset = True
             self._scope.cancel()
-        except TooLong:
+        except LineTooLongError:
             self.outcome = too_long  # a client's endless line says nothing against its runner
             self._scope.cancel()
 
@@ -81,7 +82,7 @@
                 break
         if rest := self.client.take_rest():
             await self._to_runner(rest)
-        with suppress(Broken):
+        with suppress(ConnectionBrokenError):
             await self.runner.end_sending()
         await trio.sleep(RUNNER_END_WITHIN)
         self._scope.cancel()
@@ -89,7 +90,7 @@
     async def _to_runner(self, data: bytes) -> None:
         # Guards against losing the last lines of a runner that has closed already: what it said can still be
         # read, and reading finds the end.
-        with suppress(Broken):
+        with suppress(ConnectionBrokenError):
             await self.runner.send(data)
 
     async def _from_runner(self, said: bytes) -> None:
@@ -102,7 +103,7 @@
                 await self._to_client(lines)
             try:
                 more = await self.runner.fill()
-            except Broken:
+            except ConnectionBrokenError:
                 self.reset, more = True, False
             lines = self.runner.take_lines()
         if rest := lines + self.runner.take_rest():
@@ -122,7 +123,7 @@
         with trio.move_on_after(LINE_HELD, shield=True) as limit:
             await self.client.send(lines)
         if limit.cancelled_caught:
-            raise Broken
+            raise ConnectionBrokenError("send within the time for one line")
         self.whole = True
 
     def _note(self, lines: bytes) -> None:
--- a/aspensaddle/frontends/line_protocol/servers.py
+++ b/aspensaddle/frontends/line_protocol/servers.py
@@ -12,7 +12,8 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
 from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.frontends.line_protocol.link import LINE, Broken, Link, TooLong
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
+from aspensaddle.frontends.line_protocol.link import LINE, Link
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.sockets import NO_DESCRIPTORS, connect
 
@@ -130,7 +131,7 @@
     async def _offer(self, link: Link, line: bytes) -> tuple[Outcome, bytes]:
         try:
             await link.send(line)
-        except Broken:
+        except ConnectionBrokenError:
             return Outcome.UNREACHABLE, b""  # before the line's last byte was written
         loads = b""
         try:
@@ -140,7 +141,7 @@
                 loads += answer  # belongs behind the UP
                 if len(loads) > LINE:
                     break  # an answer that never ends
-        except (Broken, TooLong):
+        except (ConnectionBrokenError, LineTooLongError):
             pass
         return Outcome.CONNECTION_LOST, b""
 
@@ -178,7 +179,7 @@
         try:
             await link.send(b"STATS\r\n")
             line = await link.line()
-        except (Broken, TooLong):
+        except (ConnectionBrokenError, LineTooLongError):
             return Outcome.CONNECTION_LOST, None
         if line is None:
             return Outcome.CONNECTION_LOST, None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,8 +9,9 @@
 from standins import WAIT, Client, Discovery, Program, Runner, until
 
 from aspensaddle.frontends.line_protocol.admission import FIXED, LEAST_ASIDE, Admission, Stage
+from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
 from aspensaddle.frontends.line_protocol.link import LINGER, Link
-from aspensaddle.frontends.line_protocol.opening import BadOpen, parse_open
+from aspensaddle.frontends.line_protocol.opening import parse_open
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
@@ -207,7 +208,7 @@
     ],
 )
 def test_first_lines_that_a_runner_could_not_use_go_to_none(line):
-    with pytest.raises(BadOpen):
+    with pytest.raises(InvalidOpenError):
         parse_open(line, {"test-run": 0}, True)
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -2,6 +2,7 @@
 
 import json
 
+import hypothesis
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,7 +11,8 @@
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.discovery.endpoint_update import parse_update
-from aspensaddle.frontends.line_protocol.clients import BadOpen, parse_open
+from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
+from aspensaddle.frontends.line_protocol.opening import parse_open
 from aspensaddle.support.files import load_json
 from aspensaddle.support.hashing import stable_hash
 from aspensaddle.support.json_fields import DecodeError
@@ -91,19 +93,22 @@
     assert parse_open(line, CLASSES, True).first_line(1.0) == line.replace(b",d=9", b",d=1000")
 
 
+# The seeds that these two had before an error was renamed: a derandomized test draws by the hash of its source.
+@hypothesis.seed(0xB7DCDCAACCD7E930DD37C2D6B467C631612484E48CDEF91293992118C5E0EBF73F7D425D5D56CF52A5D0FC02AD83BF50)
 @given(mutations)
 def test_open_is_read_or_refused(change):
     try:
         opened = parse_open(mutate(OPEN, change), CLASSES, groups=True)
-    except BadOpen:
+    except InvalidOpenError:
         return
     assert opened.request.class_index in (0, 1) and opened.request.time_left >= 0
     assert opened.request.load_hint is None or 0 <= opened.request.load_hint < 1e9
 
 
+@hypothesis.seed(0xB4C189410454E0549544FDE7CC2F6A497420AB19CB5052F67422D77B5D5D12E7D546D9C2407C20E9D110FE29F750E5F1)
 @given(st.binary(max_size=200))
 def test_garbage_is_no_open(data):
-    with pytest.raises(BadOpen):
+    with pytest.raises(InvalidOpenError):
         parse_open(data, CLASSES, groups=True)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,8 @@
 
 from aspensaddle.core.events import Outcome
 from aspensaddle.frontends.line_protocol.clients import Clients
-from aspensaddle.frontends.line_protocol.link import LINE, Link, TooLong
+from aspensaddle.frontends.line_protocol.errors import LineTooLongError
+from aspensaddle.frontends.line_protocol.link import LINE, Link
 from aspensaddle.frontends.line_protocol.notes import Notes, Teller
 from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.support.counters import Counters
@@ -165,7 +166,7 @@
     async def main():
         a, b = pair()
         await a.send_all(b"x" * (LINE + 10))
-        with pytest.raises(TooLong):
+        with pytest.raises(LineTooLongError):
             await Link(b).line()
 
     trio.run(main)
