--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -19,8 +19,9 @@
 from aspensaddle.daemon.shutdown import Phases, shut_down
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.discovery.watcher import Discovery
-from aspensaddle.frontends.line_protocol.clients import Clients, LinesSettings
-from aspensaddle.frontends.line_protocol.servers import Servers
+from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
+from aspensaddle.frontends.line_protocol.frontend_state import LineProtocolSettings
+from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 from aspensaddle.frontends.quic.settings import QuicSettings, load_quic
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
@@ -52,7 +53,7 @@
         self.config, self.log, self.counters = config, log, counters
         self.fleet = Fleet(config.zones, config.settings.machine_types)
         self.driver = Driver(config.settings, config.seed, self)
-        self.servers = Servers(self.driver, self.fleet, self.counters, config.limits.sockets)
+        self.servers = ServerConnector(self.driver, self.fleet, self.counters, config.limits.sockets)
         self.list: Discovery | StoreList | None = None
         if replica is not None and replica.settings.runners:
             from aspensaddle.daemon.stored import StoreList
@@ -69,7 +70,7 @@
                 agent=not config.settings.polls_discovery,
             )
             self.list.rev = config.known.rev
-        self.clients = Clients(
+        self.clients = LineProtocolFrontend(
             _lines(config),
             self.driver,
             self.servers,
@@ -238,8 +239,8 @@
             self.driver.run_timers()
 
 
-def _lines(config: Config) -> LinesSettings:
-    return LinesSettings(config.classes, config.tenants, config.settings, config.limits.sockets)
+def _lines(config: Config) -> LineProtocolSettings:
+    return LineProtocolSettings(config.classes, config.tenants, config.settings, config.limits.sockets)
 
 
 async def serve(
--- a/aspensaddle/daemon/shutdown.py
+++ b/aspensaddle/daemon/shutdown.py
@@ -11,8 +11,8 @@
 import trio
 
 from aspensaddle.core.settings import Settings
-from aspensaddle.frontends.line_protocol.admission import Stage
-from aspensaddle.frontends.line_protocol.clients import Clients
+from aspensaddle.frontends.line_protocol.connection_slots import ConnectionStage
+from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
 from aspensaddle.support.sockets import Listener
 
 # The pages' figures (PROTOCOL, "Figures"), seconds after SIGTERM.
@@ -45,7 +45,7 @@
         return cls(min(NEWCOMERS + SLACK, answered / 2), answered, (answered + closed) / 2, closed)
 
 
-async def shut_down(clients: Clients, listener: Listener, phases: Phases, nursery: trio.Nursery) -> None:
+async def shut_down(clients: LineProtocolFrontend, listener: Listener, phases: Phases, nursery: trio.Nursery) -> None:
     start = trio.current_time()
 
     def left(until: float) -> float:
@@ -84,5 +84,5 @@
     while clients.admission.open and left(phases.closed) > 0:
         await trio.sleep(min(STEP, max(0.0, left(phases.closed))))
     clients.admission.cut_all()
-    while clients.admission.count(Stage.LINGERING):
+    while clients.admission.count(ConnectionStage.LINGERING):
         await trio.sleep(0)
--- a/aspensaddle/frontends/line_protocol/__init__.py
+++ b/aspensaddle/frontends/line_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The first front: the platform's lines of text over TCP. Modules go by peer."""
+"""Front end for the platform's protocol of text lines over TCP."""
--- /dev/null
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -0,0 +1,144 @@
+"""Handler of one client connection: first line, what it asks for, and the close."""
+
+from __future__ import annotations
+
+import traceback
+
+import trio
+
+from aspensaddle.frontends.line_protocol.connection_adopter import ConnectionAdopter
+from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlot
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, InvalidOpenError, LineTooLongError
+from aspensaddle.frontends.line_protocol.frontend_state import FrontendState
+from aspensaddle.frontends.line_protocol.link import Link
+from aspensaddle.frontends.line_protocol.open_request import OpenRequest, parse_open
+from aspensaddle.frontends.line_protocol.request_lifecycle import RequestLifecycle
+from aspensaddle.frontends.line_protocol.request_state import COMMANDS
+from aspensaddle.frontends.line_protocol.responses import ERROR, PONG, ConnectionEnd
+
+RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # for a client to take its response
+MAX_PINGS = 16  # before an OPEN
+MAX_TRACE_CHARACTERS = 2000
+# A first line read within this many passes of the event loop may have arrived together with its connection.
+MAX_LOOP_PASSES_SINCE_ACCEPT = 2
+
+
+class ConnectionHandler:
+    """Handles client connections, each from its accept to its close, in a task of its own."""
+
+    def __init__(self, frontend: FrontendState, requests: RequestLifecycle, adopter: ConnectionAdopter) -> None:
+        """Hand new requests to `requests` and connections to adopt to `adopter`."""
+        self._frontend, self._requests, self._adopter = frontend, requests, adopter
+
+    async def handle(self, stream: trio.SocketStream, arrived_at: float, loop_passes: int) -> None:
+        """Handle one connection. An internal error ends this connection and no other.
+
+        Args:
+            stream: The connection.
+            arrived_at: Earliest time in seconds at which it can have arrived.
+            loop_passes: Passes of the event loop until the accept.
+        """
+        link = Link(stream)
+        with self._frontend.admission.hold(link) as slot:
+            try:
+                end = await self._serve_or_report(link, slot, arrived_at, loop_passes)
+                await self._finish(link, slot, end)
+            except ConnectionBrokenError:
+                pass
+            finally:
+                link.close()
+
+    async def _serve_or_report(
+        self, link: Link, slot: ConnectionSlot, arrived_at: float, loop_passes: int
+    ) -> ConnectionEnd:
+        """Serve the connection; after an internal error its client still gets a final response."""
+        try:
+            return await self._serve(link, slot, arrived_at, loop_passes)
+        except ConnectionBrokenError:
+            raise
+        except Exception as error:
+            trace = "".join(traceback.format_exception(error))[-MAX_TRACE_CHARACTERS:]
+            self._frontend.counters.add("faults")
+            self._frontend.log.event("fault", error=repr(error), trace=trace)
+            return ConnectionEnd(b"" if link.response_started else ERROR)
+
+    async def _serve(self, link: Link, slot: ConnectionSlot, arrived_at: float, loop_passes: int) -> ConnectionEnd:
+        """Read the first line within its time and do what it asks for."""
+        try:
+            open_request = await self._read_open(link, slot)
+        except (InvalidOpenError, LineTooLongError) as error:
+            self._frontend.counters.add("bad first lines")
+            self._frontend.log.seldom("bad first line", why=str(error))
+            return ConnectionEnd(ERROR)
+        if open_request is None:
+            return ConnectionEnd(self._frontend.unavailable_response() if slot.evicted else b"")
+        self._frontend.counters.add("requests")
+        link.response_started = False  # a PONG was none to this request
+        if reason := self._reject_reason(open_request):
+            self._frontend.counters.add(reason)
+            return ConnectionEnd(self._frontend.unavailable_response())
+        self._frontend.admission.activate(slot)
+        if open_request.adopted_server is not None:
+            return await self._adopter.run(link, open_request, open_request.adopted_server)
+        lag = self._frontend.lateness
+        if lag.passes > loop_passes + MAX_LOOP_PASSES_SINCE_ACCEPT:
+            arrived_at = lag.since
+        return await self._requests.run(link, open_request, arrived_at)
+
+    async def _read_open(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
+        """Return the OPEN; None if the connection ended or was evicted before it.
+
+        Raises:
+            ConnectionBrokenError: The connection was reset.
+            InvalidOpenError: The line is invalid, not allowed now, or late.
+            LineTooLongError: The line is too long.
+        """
+        open_request: OpenRequest | None = None
+        with slot.first_line_scope:
+            open_request = await self._read_first_line(link)
+        if open_request is None:
+            if slot.first_line_scope.cancelled_caught and not slot.evicted:
+                raise InvalidOpenError("no whole first line in time")
+            return None
+        if open_request.request.request_id in self._frontend.driver:
+            raise InvalidOpenError("the id is in use")  # by another request, which goes on
+        if link.has_line_starting_with(COMMANDS):
+            raise InvalidOpenError("commands that did not wait for an answer")
+        return open_request
+
+    async def _read_first_line(self, link: Link) -> OpenRequest | None:
+        """Answer PINGs until the OPEN; return None if the connection ends before it."""
+        config = self._frontend.config
+        pings = 0
+        while (line := await link.read_line()) is not None:
+            if line.strip() != b"PING":
+                return parse_open(line, config.classes, config.settings.session_groups, config.tenants)
+            pings += 1
+            if pings > MAX_PINGS:
+                raise InvalidOpenError("too many commands")
+            self._frontend.counters.add("pings")
+            await link.send(PONG)
+        return None
+
+    def _reject_reason(self, open_request: OpenRequest) -> str | None:
+        """Return the counter of the reason why this process cannot take the request, if any."""
+        if not self._frontend.newcomers:
+            return "refused while closing"
+        if open_request.adopted_server is None and self._frontend.admission.full:
+            return "refused: full"
+        return None
+
+    async def _finish(self, link: Link, slot: ConnectionSlot, end: ConnectionEnd) -> None:
+        """Send the response, end sending, read until the client has ended too, and close.
+
+        Shielded, so that the end of the process cannot cut off a response that is decided.
+        """
+        if end.reset:
+            link.reset()
+            return
+        if end.response:
+            deadline = trio.current_time() + RESPONSE_SEND_TIMEOUT_SECONDS
+            with trio.CancelScope(shield=True, deadline=deadline):
+                await link.send(end.response)
+        self._frontend.admission.linger(slot)
+        await link.close_lingering(slot.linger_scope)
--- /dev/null
+++ b/aspensaddle/frontends/line_protocol/frontend_state.py
@@ -0,0 +1,86 @@
+"""State that the parts of the line protocol front end share."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from aspensaddle.core.driver import Driver
+from aspensaddle.core.retry_after import shutdown_retry_after
+from aspensaddle.core.settings import Settings
+from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlots
+from aspensaddle.frontends.line_protocol.request_state import RequestState
+from aspensaddle.frontends.line_protocol.responses import busy
+from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
+from aspensaddle.support.counters import Counters
+from aspensaddle.support.event_loop_lag import Lateness
+from aspensaddle.support.log import Log
+
+
+@dataclass(frozen=True, slots=True)
+class LineProtocolSettings:
+    """Settings of the front end.
+
+    Attributes:
+        classes: Numbers of the request classes by name.
+        tenants: Numbers of the tenants with a quota by name.
+        settings: Settings of the balancer.
+        sockets: Descriptors that the process may hold.
+    """
+
+    classes: Mapping[str, int]
+    tenants: Mapping[str, int]
+    settings: Settings
+    sockets: int
+
+
+class FrontendState:
+    """Services, settings, connections and shutdown state of one front end.
+
+    Attributes:
+        config: Settings in force.
+        driver: Driver of the balancer.
+        connector: Connections to servers.
+        endpoints: Known servers.
+        counters: Counters of the process.
+        log: Log of the process.
+        lateness: Event loop lag.
+        admission: Slots of the client connections.
+        placing: Requests without a final decision, by id.
+        standing: Requests with an open connection, by id.
+        newcomers: New requests are accepted; False while the process shuts down.
+        moving: Connections that open from now on are migrated at once.
+    """
+
+    def __init__(
+        self,
+        config: LineProtocolSettings,
+        driver: Driver,
+        connector: ServerConnector,
+        endpoints: Fleet,
+        counters: Counters,
+        log: Log,
+        reserve: int = 0,
+    ) -> None:
+        """Start without connections; `reserve` descriptors are kept for other parts of the process."""
+        self.driver, self.connector, self.endpoints = driver, connector, endpoints
+        self.counters, self.log = counters, log
+        self.lateness = Lateness()
+        self.placing: dict[str, RequestState] = {}
+        self.standing: dict[str, RequestState] = {}
+        self.newcomers = True
+        self.moving = False
+        self._reserve = reserve
+        self.admission = ConnectionSlots(counters, config.sockets)
+        self.configure(config)
+
+    def configure(self, config: LineProtocolSettings) -> None:
+        """Use other settings for requests from now on."""
+        self.config = config
+        self.connector.sockets = config.sockets
+        self.admission.configure(config.sockets, self._reserve + self.connector.descriptors)
+
+    def unavailable_response(self) -> bytes:
+        """Return the response for a client that this process cannot serve now."""
+        return busy(shutdown_retry_after(self.config.settings.limits))
--- a/aspensaddle/frontends/line_protocol/link.py
+++ b/aspensaddle/frontends/line_protocol/link.py
@@ -1,4 +1,4 @@
-"""Lines of text over a trio stream, and connections that end well."""
+"""Lines of text over a TCP connection, and ways to close it."""
 
 from __future__ import annotations
 
@@ -11,89 +11,121 @@
 
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
 
-LINE = 4096  # bytes of a line at most, its end included
-CHUNK = 4096
-LINGER = 65536  # bytes read at most after the last answer
+MAX_LINE_BYTES = 4096  # the line's end included
+READ_CHUNK_BYTES = 4096
+MAX_LINGER_BYTES = 65536  # read at most after the last response
+
+
+def first_word(line: bytes) -> bytes:
+    """Return the first word of a line, empty for a blank one."""
+    return line.split(None, 1)[0] if line.strip() else b""
 
 
 class Link:
-    """One TCP connection with a buffer for what has come of a line."""
+    """One TCP connection with a buffer for received bytes that no caller has taken yet.
+
+    Attributes:
+        stream: The connection.
+        ended: The other side has ended its sending or reset the connection.
+        response_started: Something was sent, at least in part.
+        sending_ended: This side has ended its sending.
+    """
 
     def __init__(self, stream: trio.SocketStream) -> None:
+        """Wrap an open connection."""
         self.stream = stream
         self._buffer = bytearray()
-        self.ended = False  # the other side has ended its sending
-        self.answered = False  # something was sent, or begun to be
-        self.sending_ended = False  # this side has
+        self.ended = False
+        self.response_started = False
+        self.sending_ended = False
 
-    async def fill(self) -> bool:
-        """Read some more; False at the end."""
+    @property
+    def buffered(self) -> int:
+        """Bytes received and not taken."""
+        return len(self._buffer)
+
+    async def receive(self) -> bool:
+        """Wait for more bytes; return False at the end.
+
+        Raises:
+            ConnectionBrokenError: The connection was reset or closed.
+        """
         if self.ended:
             return False
         try:
-            data = await self.stream.receive_some(CHUNK)
+            data = await self.stream.receive_some(READ_CHUNK_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             raise ConnectionBrokenError("receive") from None
-        return self._take(bytes(data))
+        return self._append(bytes(data))
+
+    def poll(self) -> bool:
+        """Read what has arrived without waiting, as far as the buffer allows; return whether the peer is connected.
 
-    def look(self) -> bool:
-        """Read what has come, without a wait, as far as there is room for it; False where the other side has
-        ended its sending or reset the connection. A look at the wire itself: a task that reads may come to an
-        end later than another task to its next step."""
-        while not self.ended and len(self._buffer) < LINE + CHUNK:
+        Reads the socket itself, since a task that waits in `receive` may run later than the caller.
+        """
+        while not self.ended and len(self._buffer) < MAX_LINE_BYTES + READ_CHUNK_BYTES:
             try:
-                data = os.read(self.stream.socket.fileno(), CHUNK)
+                data = os.read(self.stream.socket.fileno(), READ_CHUNK_BYTES)
             except BlockingIOError:
                 break
             except OSError:
                 data = b""
-            self._take(data)
+            self._append(data)
         return not self.ended
 
-    def _take(self, data: bytes) -> bool:
+    def _append(self, data: bytes) -> bool:
         self._buffer += data
         self.ended = not data
         return bool(data)
 
     def take_lines(self) -> bytes:
-        """All whole lines that have come."""
+        """Take all complete lines that have arrived.
+
+        Raises:
+            LineTooLongError: The incomplete line behind them is too long already.
+        """
         end = self._buffer.rfind(b"\n") + 1
-        if len(self._buffer) - end >= LINE:
-            raise LineTooLongError(len(self._buffer) - end, LINE)
+        if len(self._buffer) - end >= MAX_LINE_BYTES:
+            raise LineTooLongError(len(self._buffer) - end, MAX_LINE_BYTES)
         lines = bytes(self._buffer[:end])
         del self._buffer[:end]
         return lines
 
     def take_rest(self) -> bytes:
-        """What stands after the last whole line."""
+        """Take all that is buffered."""
         rest = bytes(self._buffer)
         self._buffer.clear()
         return rest
 
-    async def line(self) -> bytes | None:
-        """The next line with its end, or None where the connection ends before it."""
+    async def read_line(self) -> bytes | None:
+        """Return the next line with its end, or None if the connection ends before it.
+
+        Raises:
+            ConnectionBrokenError: The connection was reset or closed.
+            LineTooLongError: The line is too long.
+        """
         while (end := self._buffer.find(b"\n") + 1) == 0:
-            if len(self._buffer) >= LINE:
-                raise LineTooLongError(len(self._buffer), LINE)
-            if not await self.fill():
+            if len(self._buffer) >= MAX_LINE_BYTES:
+                raise LineTooLongError(len(self._buffer), MAX_LINE_BYTES)
+            if not await self.receive():
                 return None
-        if end > LINE:
-            raise LineTooLongError(end, LINE)
+        if end > MAX_LINE_BYTES:
+            raise LineTooLongError(end, MAX_LINE_BYTES)
         line = bytes(self._buffer[:end])
         del self._buffer[:end]
         return line
 
-    def holds(self, words: tuple[bytes, ...]) -> bool:
-        """Whether a whole line that has come begins with one of the words."""
+    def has_line_starting_with(self, words: tuple[bytes, ...]) -> bool:
+        """Return whether a complete buffered line starts with one of the words."""
         return bool(self._buffer) and any(line.startswith(words) for line in bytes(self._buffer).split(b"\n")[:-1])
 
-    @property
-    def buffered(self) -> int:
-        return len(self._buffer)
-
     async def send(self, data: bytes) -> None:
-        """What the system takes at once is sent before anything else can happen in this process."""
-        self.answered = True
+        """Send all of `data`. What the kernel takes at once is written before any other task runs.
+
+        Raises:
+            ConnectionBrokenError: The connection was reset or closed.
+        """
+        self.response_started = True
         try:
             with suppress(BlockingIOError):
                 data = data[os.write(self.stream.socket.fileno(), data) :]
@@ -103,33 +135,40 @@
             raise ConnectionBrokenError("send") from None
 
     async def end_sending(self) -> None:
+        """Shut down this side's sending.
+
+        Raises:
+            ConnectionBrokenError: The connection was reset or closed.
+        """
         self.sending_ended = True
         try:
             await self.stream.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             raise ConnectionBrokenError("end of sending") from None
 
-    async def linger(self, scope: trio.CancelScope) -> None:
-        """Close so that what was sent arrives: a close over unread bytes would reset the connection and may take
-        the last line with it. So the sending is ended first, and then read on until the other side has ended
-        too, or `scope` is over. But only so much: guards against one that sends without end, at full speed, and
-        would have this process do nothing else."""
+    async def close_lingering(self, scope: trio.CancelScope) -> None:
+        """Shut down sending, read until the peer has ended or `scope` is cancelled, and close.
+
+        A close over unread bytes would reset the connection, and the peer could lose the last line. The bytes read
+        are limited, so a peer that sends without end cannot occupy this process.
+        """
         with suppress(ConnectionBrokenError), scope:
             await self.end_sending()
-            most = LINGER
-            while most > 0 and await self.fill():
-                most -= len(self._buffer)
+            remaining = MAX_LINGER_BYTES
+            while remaining > 0 and await self.receive():
+                remaining -= len(self._buffer)
                 self._buffer.clear()
         self._buffer.clear()
         with suppress(OSError):
-            self.look()  # what came in the moment in which the reading was ended
+            self.poll()  # what arrived since the last read
         self.close()
 
     def close(self) -> None:
+        """Close the connection at once."""
         self.stream.socket.close()
 
     def reset(self) -> None:
-        """Close as a process that died would."""
+        """Close the connection with a TCP reset."""
         with suppress(trio.ClosedResourceError, OSError):
             self.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
--- /dev/null
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -0,0 +1,61 @@
+"""Accepts client connections and starts a task for each."""
+
+from __future__ import annotations
+
+import errno
+
+import trio
+
+from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
+from aspensaddle.frontends.line_protocol.connection_slots import ACCEPT_BATCH
+from aspensaddle.frontends.line_protocol.frontend_state import FrontendState
+from aspensaddle.support.sockets import Listener
+
+NO_DESCRIPTOR_PAUSE_SECONDS = 0.005  # for evicted connections to close
+
+
+class ClientListener:
+    """Accepts connections as far as descriptors allow."""
+
+    def __init__(self, frontend: FrontendState, handler: ConnectionHandler) -> None:
+        """Accept connections for `handler`."""
+        self._frontend, self._handler = frontend, handler
+        self._starting = 0  # connections that are accepted and whose tasks have not begun
+
+    async def serve(self, listener: Listener, nursery: trio.Nursery) -> None:
+        """Accept connections until cancelled, also once the listener is closed."""
+        self._frontend.lateness.begin()
+        try:
+            while True:
+                try:
+                    await listener.wait()
+                except trio.ClosedResourceError:  # the process shuts down
+                    await trio.sleep_forever()
+                if not self.accept(listener, nursery):
+                    await trio.sleep(NO_DESCRIPTOR_PAUSE_SECONDS)
+        finally:
+            self._frontend.lateness.end()
+
+    def accept(self, listener: Listener, nursery: trio.Nursery) -> bool:
+        """Accept what has arrived, at most one batch; return False if a descriptor was lacking."""
+        slots, counters, lag = self._frontend.admission, self._frontend.counters, self._frontend.lateness
+        for _ in range(ACCEPT_BATCH):
+            if not slots.may_accept(self._starting):
+                slots.free_descriptor()
+                return False
+            try:
+                stream = listener.accept()
+            except OSError as error:
+                counters.add(f"accept {errno.errorcode.get(error.errno or 0, 'failed')}")
+                slots.free_descriptor()
+                return False
+            if stream is None:
+                break
+            counters.add("connections")
+            self._starting += 1
+            nursery.start_soon(self._handle, stream, lag.since, lag.passes)
+        return True
+
+    async def _handle(self, stream: trio.SocketStream, arrived_at: float, loop_passes: int) -> None:
+        self._starting -= 1
+        await self._handler.handle(stream, arrived_at, loop_passes)
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -1,4 +1,4 @@
-"""The lines of a connection that stands, both ways, until one side ends or its client is moved."""
+"""Relay of the lines of an open connection between a client and its server."""
 
 from __future__ import annotations
 
@@ -11,63 +11,91 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
-from aspensaddle.frontends.line_protocol.link import Link
-from aspensaddle.frontends.line_protocol.notes import Load, Notes
-from aspensaddle.frontends.line_protocol.servers import first_word
+from aspensaddle.frontends.line_protocol.link import Link, first_word
+from aspensaddle.frontends.line_protocol.load_report_parser import ConnectionLoad, LoadReportParser
 from aspensaddle.support.counters import Counters
 
-# A line's wait after which the runner is held to be cut off. The rule is 7 s of silence: a client's next line
-# leaves within 2 s of it, and it is looked for four times a second.
-SILENT = 4.5
-RUNNER_END_WITHIN = 5.0  # for a runner to end its side once its client has
-LINE_HELD = 0.9  # the rule: a second
-NO_ECHO = (b"UP", b"BYE", b"MOVE")  # a runner's own words; any other line is a client's that comes back
+# A server that leaves a line unanswered this long counts as cut off. The protocol's limit is 7 s: a client's next
+# line leaves within 2 s of that, and the periodic check runs four times a second.
+SERVER_SILENCE_TIMEOUT_SECONDS = 4.5
+SERVER_END_TIMEOUT_SECONDS = 5.0  # for a server to end its side once its client has
+CLIENT_SEND_TIMEOUT_SECONDS = 0.9  # the protocol allows a second for a line
+MAX_AWAITED_ECHOES = 64
+SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # any other line of a server is a client's that comes back
 
 
 class Relay:
-    """Passes lines between a client and its runner until one side ends or the balancer moves the client."""
-
-    def __init__(self, client: Link, runner: Link, id: str, driver: Driver, counters: Counters, notes: Notes) -> None:
-        self.client, self.runner, self.id = client, runner, id
-        self.driver, self.counters, self.notes = driver, counters, notes
-        self.outcome = Outcome.CANCELLED  # until the runner says or does something else
-        self.whole = True  # the client has whole lines only
-        self.reset = False  # a side has gone with a reset, which is passed on
-        self.silent = False
+    """Relays lines until one side ends or the client is to be migrated.
+
+    Attributes:
+        client: The client's connection.
+        server: The server's connection.
+        request_id: Request that the connection came of.
+        load_report_parser: Parser of the server's LOAD lines.
+        outcome: How the connection ended.
+        client_at_line_end: The client has received complete lines only.
+        reset: One side reset its connection, which is to be passed on.
+        server_silent: The server left a line unanswered for too long.
+    """
+
+    def __init__(
+        self,
+        client: Link,
+        server: Link,
+        request_id: str,
+        driver: Driver,
+        counters: Counters,
+        load_report_parser: LoadReportParser,
+    ) -> None:
+        """Prepare the relay; `run` starts it."""
+        self.client, self.server, self.request_id = client, server, request_id
+        self.driver, self.counters = driver, counters
+        self.load_report_parser = load_report_parser
+        self.outcome = Outcome.CANCELLED  # unless the server ends the connection
+        self.client_at_line_end = True
+        self.reset = False
+        self.server_silent = False
         self._stopped = False
-        self._word = b""  # the last from the runner
-        self._out: deque[float] = deque(maxlen=64)  # when the lines left that have not come back
+        self._last_word = b""  # of the server
+        self._awaited_echoes: deque[float] = deque(maxlen=MAX_AWAITED_ECHOES)  # send times of lines not echoed yet
         self._scope = trio.CancelScope()
 
     def stop(self) -> None:
+        """End the relay between two lines, so that the client can be migrated."""
         self._stopped = True
         self._scope.cancel()
 
-    def sweep(self, now: float) -> None:
-        """Guards against a runner that was cut off: it keeps its connections open and says nothing."""
-        if self._out and now - self._out[0] > SILENT and not self._stopped:
-            self.silent = True
+    def check_silence(self, now: float) -> None:
+        """Stop if the server is cut off: it keeps its connections open and answers nothing."""
+        if self.echo_overdue(now) > SERVER_SILENCE_TIMEOUT_SECONDS and not self._stopped:
+            self.server_silent = True
             self.stop()
 
-    def overdue(self, now: float) -> float:
-        return now - self._out[0] if self._out else 0.0
+    def echo_overdue(self, now: float) -> float:
+        """Return for how long the oldest line without an echo has been out, in seconds."""
+        return now - self._awaited_echoes[0] if self._awaited_echoes else 0.0
 
-    async def run(self, said: bytes) -> bool:
-        """True where the client is to be moved. It can't be once its side was ended: nothing may follow that."""
+    async def run(self, response: bytes) -> bool:
+        """Relay until the end, first the server's `response`; return whether the client is to be migrated.
+
+        It cannot be once sending to it has ended.
+        """
         with self._scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._guard, Outcome.CANCELLED, self._from_client)
-                nursery.start_soon(self._guard, Outcome.CONNECTION_LOST, self._from_runner, said)
+                nursery.start_soon(self._guard, Outcome.CONNECTION_LOST, self._from_server, response)
         return self._stopped and not self.client.sending_ended
 
-    async def _guard(self, too_long: Outcome, pump: Callable[..., Awaitable[None]], *args: bytes) -> None:
+    async def _guard(
+        self, outcome_of_long_line: Outcome, direction: Callable[..., Awaitable[None]], *args: bytes
+    ) -> None:
         try:
-            await pump(*args)
+            await direction(*args)
         except ConnectionBrokenError:
             self.reset = True
             self._scope.cancel()
         except LineTooLongError:
-            self.outcome = too_long  # a client's endless line says nothing against its runner
+            self.outcome = outcome_of_long_line  # one of the client is not the server's failure
             self._scope.cancel()
 
     async def _from_client(self) -> None:
@@ -76,69 +104,71 @@
                 now = trio.current_time()
                 self.counters.add("lines from clients", count := lines.count(b"\n"))
                 for _ in range(count):
-                    self._out.append(now)
-                await self._to_runner(lines)
-            if not await self.client.fill():
+                    self._awaited_echoes.append(now)
+                await self._to_server(lines)
+            if not await self.client.receive():
                 break
         if rest := self.client.take_rest():
-            await self._to_runner(rest)
+            await self._to_server(rest)
         with suppress(ConnectionBrokenError):
-            await self.runner.end_sending()
-        await trio.sleep(RUNNER_END_WITHIN)
+            await self.server.end_sending()
+        await trio.sleep(SERVER_END_TIMEOUT_SECONDS)
         self._scope.cancel()
 
-    async def _to_runner(self, data: bytes) -> None:
-        # Guards against losing the last lines of a runner that has closed already: what it said can still be
-        # read, and reading finds the end.
+    async def _to_server(self, data: bytes) -> None:
+        # If the server has closed, its last lines can still be read, and reading finds the end.
         with suppress(ConnectionBrokenError):
-            await self.runner.send(data)
+            await self.server.send(data)
 
-    async def _from_runner(self, said: bytes) -> None:
-        # Lines that came in one piece with the UP are in the link's buffer already: held, they would wait for
-        # the runner's next.
-        lines, more = said + self.runner.take_lines(), True
+    async def _from_server(self, response: bytes) -> None:
+        # Lines that arrived together with the UP are buffered already.
+        lines, more = response + self.server.take_lines(), True
         while more:
             if lines:
-                self._note(lines)
+                self._inspect(lines)
                 await self._to_client(lines)
             try:
-                more = await self.runner.fill()
+                more = await self.server.receive()
             except ConnectionBrokenError:
                 self.reset, more = True, False
-            lines = self.runner.take_lines()
-        if rest := lines + self.runner.take_rest():
-            self._note(rest)
+            lines = self.server.take_lines()
+        if rest := lines + self.server.take_rest():
+            self._inspect(rest)
             await self._to_client(rest)
-        if self._word == b"BYE":
+        if self._last_word == b"BYE":
             self.outcome = Outcome.OK
-        elif self._word != b"MOVE" and not self.client.ended:
+        elif self._last_word != b"MOVE" and not self.client.ended:
             self.outcome = Outcome.CONNECTION_LOST
         if not self.reset:
-            await self.client.end_sending()  # who ends the connection then reads it out
+            await self.client.end_sending()  # the connection handler then closes it
         self._scope.cancel()
 
     async def _to_client(self, lines: bytes) -> None:
-        # Not to be cut off by a move halfway through a line; a client that does not read is.
-        self.whole = False
-        with trio.move_on_after(LINE_HELD, shield=True) as limit:
+        # Shielded, since a migration must not cut a line; a client that does not read is disconnected.
+        self.client_at_line_end = False
+        with trio.move_on_after(CLIENT_SEND_TIMEOUT_SECONDS, shield=True) as limit:
             await self.client.send(lines)
         if limit.cancelled_caught:
             raise ConnectionBrokenError("send within the time for one line")
-        self.whole = True
+        self.client_at_line_end = True
 
-    def _note(self, lines: bytes) -> None:
+    def _inspect(self, lines: bytes) -> None:
+        """Report to the driver what lines of the server say."""
         now = trio.current_time()
         for line in lines.splitlines():
-            word = self._word = first_word(line)
+            word = self._last_word = first_word(line)
             if word == b"LOAD":
-                notes = self.notes.read(line, now)
-                if not notes:
-                    self.counters.add("bad LOAD lines")
-                for note in notes:
-                    if isinstance(note, Load):
-                        self.driver.connection_load_reported(self.id, note.load)
-                    else:
-                        self.driver.server_latency_reported(self.id, note.delay)
-            elif self._out and word not in NO_ECHO:
-                self.driver.record_response_delay(self.id, now - self._out.popleft())
+                self._report_load(line, now)
+            elif self._awaited_echoes and word not in SERVER_WORDS:
+                self.driver.record_response_delay(self.request_id, now - self._awaited_echoes.popleft())
         self.counters.add("lines from runners", lines.count(b"\n"))
+
+    def _report_load(self, line: bytes, now: float) -> None:
+        reports = self.load_report_parser.parse(line, now)
+        if not reports:
+            self.counters.add("bad LOAD lines")
+        for report in reports:
+            if isinstance(report, ConnectionLoad):
+                self.driver.connection_load_reported(self.request_id, report.load)
+            else:
+                self.driver.server_latency_reported(self.request_id, report.latency)
--- /dev/null
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -0,0 +1,158 @@
+"""Life of a new request: from its OPEN to the response, or to the end of the connection that came of it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+from functools import partial
+
+import trio
+
+from aspensaddle.core.actions import Fail, Reject, StartAttempt
+from aspensaddle.core.events import Outcome, Request
+from aspensaddle.frontends.line_protocol.frontend_state import FrontendState
+from aspensaddle.frontends.line_protocol.link import Link, first_word
+from aspensaddle.frontends.line_protocol.open_connections import OpenConnections
+from aspensaddle.frontends.line_protocol.open_request import OpenRequest
+from aspensaddle.frontends.line_protocol.request_state import RequestState
+from aspensaddle.frontends.line_protocol.responses import ERROR, ConnectionEnd, response_to
+from aspensaddle.frontends.line_protocol.server_connector import AttemptEstablished, AttemptFailed
+
+RESPONSE_MARGIN_SECONDS = 0.03  # of the client's wait: its line's way here and the response's way back
+MAX_LAG_FRACTION = 0.25  # of the client's wait, kept back for this process's own lag
+
+
+@dataclass(slots=True)
+class _Placement:
+    """What became of a request so far."""
+
+    state: RequestState
+    open_request: OpenRequest
+    request: Request
+    started_at: float
+    server: int | None = None  # of the last attempt
+    established: AttemptEstablished | None = None
+    decision: Reject | Fail | None = None  # that ended the placement
+    response: bytes = b""
+
+    @property
+    def finished(self) -> bool:
+        return self.established is not None or bool(self.response)
+
+
+class RequestLifecycle:
+    """Places requests and serves the connections that come of them."""
+
+    def __init__(self, frontend: FrontendState, connections: OpenConnections) -> None:
+        """Hand established connections to `connections`."""
+        self._frontend, self._connections = frontend, connections
+
+    async def run(self, client: Link, open_request: OpenRequest, arrived_at: float) -> ConnectionEnd:
+        """Place a request, relay its connection if it gets one, and return how the client's connection ends."""
+        placement = self._prepare(client, open_request, arrived_at)
+        await placement.state.run_while_client_waits(partial(self._place, placement))
+        self._resolve(placement)
+        self._log(placement)
+        if placement.established is None or placement.server is None:
+            self._count_response(placement)
+            return ConnectionEnd(placement.response)
+        request_id = placement.request.request_id
+        self._frontend.driver.connection_established(request_id)
+        return await self._connections.serve(
+            client, placement.state, request_id, placement.server, placement.established
+        )
+
+    def _prepare(self, client: Link, open_request: OpenRequest, arrived_at: float) -> _Placement:
+        """Compute the time left of a request whose line arrived at `arrived_at`, in seconds.
+
+        This process's recent lag is kept back too, since the response is likely to be as late.
+        """
+        now = trio.current_time()
+        request = open_request.request
+        request_class = self._frontend.config.settings.classes[request.class_index]
+        wait = min(request.time_left, request_class.deadline)
+        lag = now - arrived_at + min(self._frontend.lateness.recent(now), MAX_LAG_FRACTION * wait)
+        request = replace(request, time_left=wait - RESPONSE_MARGIN_SECONDS - lag)
+        return _Placement(RequestState(client), open_request, request, now)
+
+    async def _place(self, placement: _Placement) -> None:
+        """Carry out the balancer's decisions until one is final or an attempt is established."""
+        frontend, state, request = self._frontend, placement.state, placement.request
+        try:
+            frontend.placing[request.request_id] = state
+            frontend.driver.submit(state, request)
+            while not placement.finished:
+                decision = await state.next_decision()
+                if not isinstance(decision, StartAttempt):
+                    placement.decision, placement.response = decision, response_to(decision)
+                elif state.client_is_connected():
+                    await self._attempt(placement, decision)
+                else:
+                    break
+        finally:
+            del frontend.placing[request.request_id]
+            if not placement.finished:
+                frontend.driver.client_disconnected(request.request_id)
+
+    async def _attempt(self, placement: _Placement, start: StartAttempt) -> None:
+        """Make one attempt and report its outcome to the driver."""
+        placement.server = start.server
+        result = await self._attempt_at_server(placement, start)
+        if isinstance(result, AttemptEstablished):
+            placement.established = result
+        elif placement.state.final is None:  # else the request was decided during the attempt
+            served = result.outcome is Outcome.OK  # completely, without an open connection
+            self._frontend.driver.attempt_ended(start.request_id, result.outcome, finished=served)
+            if served:
+                placement.response = result.response
+
+    async def _attempt_at_server(
+        self, placement: _Placement, start: StartAttempt
+    ) -> AttemptEstablished | AttemptFailed:
+        result: AttemptEstablished | AttemptFailed = AttemptFailed(Outcome.CANCELLED)
+        with placement.state.attempt_scope:
+            result = await self._frontend.connector.attempt(
+                start.server,
+                placement.open_request.line_for_server,
+                start.timeout,
+                lambda: self._frontend.driver.may_start_attempt(start.request_id),
+            )
+        return result
+
+    def _resolve(self, placement: _Placement) -> None:
+        """Settle what the client gets when a decision or its own fault crossed the last attempt."""
+        state = placement.state
+        if placement.established is not None and state.final is not None:
+            placement.established.link.close()
+            placement.established = None
+            placement.decision, placement.response = state.final, response_to(state.final)
+        if not placement.finished and state.protocol_violation:
+            placement.response = ERROR
+
+    def _log(self, placement: _Placement) -> None:
+        request = placement.request
+        self._frontend.log.event(
+            "request",
+            id=request.request_id,
+            key=request.affinity_key,
+            cls=request.class_index,
+            group=request.session_group,
+            again=request.reconnecting,
+            attempts=placement.state.attempts,
+            left=request.time_left,
+            at=None if placement.server is None else self._frontend.endpoints.uid(placement.server),
+            ms=round(1000 * (trio.current_time() - placement.started_at), 1),
+            answer="UP" if placement.established else placement.response.decode("latin-1").strip() or "gone",
+            why=_reject_reason(placement),
+        )
+
+    def _count_response(self, placement: _Placement) -> None:
+        if reason := _reject_reason(placement):
+            self._frontend.counters.add(f"refused: {reason}")
+        if placement.response:
+            self._frontend.counters.add(f"answers {first_word(placement.response).decode('latin-1')}")
+        else:
+            self._frontend.counters.add("clients gone")
+
+
+def _reject_reason(placement: _Placement) -> str | None:
+    return placement.decision.reason.value if isinstance(placement.decision, Reject) else None
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -1,4 +1,4 @@
-"""The lines' front within the test's own process, over loopback sockets: places between two lines can be held."""
+"""The line protocol front end within the test's own process, over loopback sockets: places between two lines can be held."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 from aspensaddle.daemon.shutdown import Phases, shut_down
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.discovery.endpoint_update import parse_update
-from aspensaddle.frontends.line_protocol.admission import Stage
-from aspensaddle.frontends.line_protocol.clients import Clients, LinesSettings
-from aspensaddle.frontends.line_protocol.servers import Servers
+from aspensaddle.frontends.line_protocol.connection_slots import ConnectionStage
+from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
+from aspensaddle.frontends.line_protocol.frontend_state import LineProtocolSettings
+from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.sockets import Listener
 
@@ -76,7 +77,7 @@
 
 
 class Inside:
-    """The front and what it stands on."""
+    """The front end with what it depends on."""
 
     def __init__(
         self,
@@ -98,10 +99,10 @@
         )
         self.fleet, self.counters = Fleet(("surabaya", "semarang")), Counters()
         self.driver = Driver(settings, 1, services)
-        self.servers = Servers(self.driver, self.fleet, self.counters)
+        self.connector = ServerConnector(self.driver, self.fleet, self.counters)
         names = [lane["name"] for lane in lanes or [LANE]]
-        self.config = LinesSettings({n: i for i, n in enumerate(names)}, {}, settings, sockets)
-        self.clients = Clients(self.config, self.driver, self.servers, self.fleet, self.counters, log)
+        self.config = LineProtocolSettings({n: i for i, n in enumerate(names)}, {}, settings, sockets)
+        self.frontend = LineProtocolFrontend(self.config, self.driver, self.connector, self.fleet, self.counters, log)
         self.listener = Listener(("127.0.0.1", 0))
         self.driver.start(self.take(*(targets or [r.target() for r in runners])))
         self.count = 0
@@ -125,13 +126,13 @@
     async def end(self) -> None:
         """As at SIGTERM."""
         settings = self.config.settings
-        await shut_down(self.clients, self.listener, Phases.of(settings, 0.0), self.nursery)
+        await shut_down(self.frontend, self.listener, Phases.of(settings, 0.0), self.nursery)
 
     def reload(self, **limits: Any) -> None:
         """As at SIGHUP."""
         settings = replace(self.config.settings, limits=replace(self.config.settings.limits, **limits))
         self.driver.configure(settings)
-        self.clients.configure(replace(self.config, settings=settings))
+        self.frontend.configure(replace(self.config, settings=settings))
 
     async def until(self, done: Callable[[], Any]) -> None:
         while not done():
@@ -139,16 +140,16 @@
 
     async def gone(self) -> None:
         """Until no connection is left; nothing of a request may be, then."""
-        await self.until(lambda: not self.clients.admission.open)
-        assert not self.clients.placing and not self.clients.standing
+        await self.until(lambda: not self.frontend.admission.open)
+        assert not self.frontend.placing and not self.frontend.standing
         assert not self.driver._requests and not self.driver.balancer.requests
-        assert not any(self.clients.admission.count(stage) for stage in Stage)
+        assert not any(self.frontend.admission.count(stage) for stage in ConnectionStage)
 
     def run(self, script: Callable[[Inside], Awaitable[None]], accepting: bool = True) -> None:
         async def front(task_status: trio.TaskStatus[trio.Nursery]) -> None:
             async with trio.open_nursery() as nursery:
                 if accepting:
-                    nursery.start_soon(self.clients.serve, self.listener, nursery)
+                    nursery.start_soon(self.frontend.serve, self.listener, nursery)
                 task_status.started(nursery)
                 await trio.sleep_forever()
 
--- a/tests/test_answer_delivery.py
+++ b/tests/test_answer_delivery.py
@@ -9,7 +9,7 @@
 from inside import Gate, Inside
 from standins import Runner
 
-from aspensaddle.frontends.line_protocol.admission import Admission
+from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlots
 from aspensaddle.frontends.line_protocol.link import Link
 
 
@@ -25,10 +25,10 @@
         assert await peer.line() == b"UP s-0\r\n"
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
-        await f.until(lambda: not f.clients.standing)
+        await f.until(lambda: not f.frontend.standing)
         for n in range(20):
             await peer.send(b"M %d\r\n" % n)
-        await f.until(lambda: not f.clients.admission.open)  # it has read out, and given up waiting
+        await f.until(lambda: not f.frontend.admission.open)  # it has read out, and given up waiting
         assert await peer.rest() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
         peer.stream.socket.close()
 
@@ -40,10 +40,10 @@
 
     async def script(f):
         gate = Gate()
-        f.clients._end = gate.before(f.clients._end)
+        f.frontend.handler._finish = gate.before(f.frontend.handler._finish)
         peer = await f.client()
-        await f.until(lambda: f.clients.admission.open)
-        f.clients.admission.turn_out_oldest()
+        await f.until(lambda: f.frontend.admission.open)
+        f.frontend.admission.evict_oldest()
         await gate.reached.wait()
         await peer.send(b"OPEN 1 k c=test-run,d=900\r\n")  # comes between the decision and its answer
         gate.opened.set()
@@ -55,17 +55,19 @@
     assert not runner.first_lines
 
 
-@pytest.mark.parametrize("shed", ["make_room", "cut_oldest", "turn_out_oldest", "turn_out_all", "cut_all"])
+@pytest.mark.parametrize(
+    "shed", ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "turn_out_all", "cut_all"]
+)
 def test_no_answer_that_is_to_come_is_lost_to_those_who_need_room(shed):
     """The answer is decided and not written yet: before, the connection counted as one that had it."""
     runner = Runner("s-0", b"BUSY\r\n")
 
     async def script(f):
         gate = Gate()
-        f.clients._end = gate.before(f.clients._end)
+        f.frontend.handler._finish = gate.before(f.frontend.handler._finish)
         peer = await f.asks()
         await gate.reached.wait()
-        getattr(f.clients.admission, shed)()
+        getattr(f.frontend.admission, shed)()
         await trio.testing.wait_all_tasks_blocked()
         gate.opened.set()
         assert (await peer.rest()).startswith(b"BUSY") and not peer.was_reset
@@ -128,14 +130,14 @@
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         connection.sendall(b"UP s-0\r\n")
         await peer.line()
-        (pending,) = f.clients.standing.values()
+        (state,) = f.frontend.standing.values()
         end_sending = Link.end_sending
 
         async def and_moved(link):
             await end_sending(link)
-            pending.move()
+            state.move()
 
-        pending.client.end_sending = lambda: and_moved(pending.client)
+        state.client.end_sending = lambda: and_moved(state.client)
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
         assert await peer.rest() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
@@ -191,15 +193,15 @@
     async def script(f):
         first = await f.asks()
         await trio.to_thread.run_sync(runner.offered)
-        await f.until(lambda: f.clients.placing)
+        await f.until(lambda: f.frontend.placing)
         peer = await f.client()
-        await f.until(lambda: f.clients.admission.open == 2)
+        await f.until(lambda: f.frontend.admission.open == 2)
         busy = trio.lowlevel.current_clock().current_time
         came = busy()
         os.write(peer.stream.socket.fileno(), b"OPEN a k c=test-run,d=3000\r\n")  # no pass of the loop in between
         while busy() < came + 0.4:  # a pass of the loop that takes long
             time.sleep(0.01)
-        await f.until(lambda: "a" in f.clients.placing)
+        await f.until(lambda: "a" in f.frontend.placing)
         (left,) = (p.deadline for id, p in f.driver._requests.items() if id == "a")
         # Both what it was late in coming to the line, and what it may be late again with the answer.
         assert left - f.driver.now() <= 3.0 - 0.03 - 0.4 - 0.3
@@ -212,11 +214,11 @@
 
 def test_the_shares_leave_those_with_an_answer_alone():
     async def main():
-        admission = Admission({}, 64)
-        with admission.stay(None) as stay:
-            admission.ask(stay)
-            admission.make_room()
-            admission.cut_all()
-            assert not stay.ending.cancel_called and not stay.turned_out
+        slots = ConnectionSlots({}, 64)
+        with slots.hold(None) as slot:
+            slots.activate(slot)
+            slots.free_descriptor()
+            slots.cut_all()
+            assert not slot.linger_scope.cancel_called and not slot.evicted
 
     trio.run(main)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -24,7 +24,7 @@
             await peer.stream.send_eof()
         else:
             peer.reset()
-        f.nursery.start_soon(f.clients.serve, f.listener, f.nursery)
+        f.nursery.start_soon(f.frontend.serve, f.listener, f.nursery)
         for _ in range(behind):
             await trio.to_thread.run_sync(runner.offered)
         if leave == "ends":
@@ -48,12 +48,12 @@
         peer = await f.asks()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         runner.held = False
-        (pending,) = f.clients.placing.values()
+        (state,) = f.frontend.placing.values()
         gate = Gate()
-        f.servers._connect = gate.before(f.servers._connect)
+        f.connector._connect = gate.before(f.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
-        pending.scope = trio.CancelScope()  # whoever reads comes to the end later: only a look can tell
+        state.placement_scope = trio.CancelScope()  # whoever reads comes to the end later: only a look can tell
         if leave == "ends":
             await peer.stream.send_eof()
         else:
@@ -77,7 +77,7 @@
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         runner.held = False
         gate = Gate()
-        f.servers._connect = gate.before(f.servers._connect)
+        f.connector._connect = gate.before(f.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
         await peer.send(b"OPEN other k c=test-run,d=900\r\n")
@@ -95,7 +95,7 @@
 
     async def script(f):
         gate = Gate()
-        f.servers._connect = gate.before(f.servers._connect)
+        f.connector._connect = gate.before(f.connector._connect)
         peer = await f.asks("c=test-run,d=900,at=s-0")
         await gate.reached.wait()
         await peer.stream.send_eof()
--- a/tests/test_admission.py
+++ b/tests/test_connection_slots.py
@@ -8,10 +8,15 @@
 import trio
 from standins import WAIT, Client, Discovery, Program, Runner, until
 
-from aspensaddle.frontends.line_protocol.admission import FIXED, LEAST_ASIDE, Admission, Stage
+from aspensaddle.frontends.line_protocol.connection_slots import (
+    MIN_STAGE_SHARE,
+    RESERVED_DESCRIPTORS,
+    ConnectionSlots,
+    ConnectionStage,
+)
 from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
-from aspensaddle.frontends.line_protocol.link import LINGER, Link
-from aspensaddle.frontends.line_protocol.opening import parse_open
+from aspensaddle.frontends.line_protocol.link import MAX_LINGER_BYTES, Link
+from aspensaddle.frontends.line_protocol.open_request import parse_open
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
@@ -137,17 +142,17 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood)
                 read = 0
-                fill = link.fill
+                receive = link.receive
 
                 async def counted():
                     nonlocal read
-                    more = await fill()
+                    more = await receive()
                     read += link.buffered
                     return more
 
-                link.fill = counted
-                await link.linger(trio.CancelScope(deadline=trio.current_time() + WAIT))
-                assert LINGER <= read < 2 * LINGER
+                link.receive = counted
+                await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + WAIT))
+                assert MAX_LINGER_BYTES <= read < 2 * MAX_LINGER_BYTES
         await listener.aclose()
 
     trio.run(main)
@@ -155,27 +160,30 @@
 
 def test_the_oldest_goes_first_and_one_whose_answer_is_to_come_never():
     async def main():
-        admission = Admission(Counters(), 128)
-        most = admission.most_waiting
+        slots = ConnectionSlots(Counters(), 128)
+        most = slots.max_waiting
         with ExitStack() as stack:
-            stays = [stack.enter_context(admission.stay(None)) for _ in range(most)]
-            admission.ask(stays[0])  # an answer is owed from here on
-            admission.linger(stays[3])
+            held = [stack.enter_context(slots.hold(None)) for _ in range(most)]
+            slots.activate(held[0])  # an answer is owed from here on
+            slots.linger(held[3])
             for _ in range(4):
-                stays.append(stack.enter_context(admission.stay(None)))
+                held.append(stack.enter_context(slots.hold(None)))
             # 0 and 3 wait no more, so two of the four are over the share: the oldest, by their own tasks.
-            assert [i for i, s in enumerate(stays) if s.turned_out] == [1, 2]
-            assert all(s.first.cancel_called for s in stays[1:3]) and not stays[0].first.cancel_called
-            for s in stays[4 : 4 + admission.most_lingering]:
-                admission.linger(s)
-            assert [i for i, s in enumerate(stays) if s.ending.cancel_called] == [3]
-            admission.turn_out_all()
-            admission.cut_all()
-            assert not stays[0].ending.cancel_called and stays[0].stage is Stage.ASKING
-            assert all(s.turned_out or s.ending.cancel_called for s in stays[1:])
-            late = stack.enter_context(admission.stay(None))  # after that nobody waits any more
-            assert late.turned_out
-        assert admission.open == 0
+            assert [i for i, s in enumerate(held) if s.evicted] == [1, 2]
+            assert (
+                all(s.first_line_scope.cancel_called for s in held[1:3])
+                and not held[0].first_line_scope.cancel_called
+            )
+            for s in held[4 : 4 + slots.max_lingering]:
+                slots.linger(s)
+            assert [i for i, s in enumerate(held) if s.linger_scope.cancel_called] == [3]
+            slots.turn_out_all()
+            slots.cut_all()
+            assert not held[0].linger_scope.cancel_called and held[0].stage is ConnectionStage.ACTIVE
+            assert all(s.evicted or s.linger_scope.cancel_called for s in held[1:])
+            late = stack.enter_context(slots.hold(None))  # after that nobody waits any more
+            assert late.evicted
+        assert slots.open == 0
 
     trio.run(main)
 
@@ -185,10 +193,10 @@
 def test_the_shares_of_descriptors_add_up_to_what_there_is(sockets, reserve):
     if reserve > sockets // 16:
         reserve = sockets // 16
-    admission = Admission(Counters(), sockets, reserve)
-    sides = 2 * admission.most_asking + admission.most_waiting + admission.most_lingering
-    assert reserve + FIXED + sides <= sockets
-    assert admission.most_asking >= 4 and min(admission.most_waiting, admission.most_lingering) >= LEAST_ASIDE
+    slots = ConnectionSlots(Counters(), sockets, reserve)
+    sides = 2 * slots.max_active + slots.max_waiting + slots.max_lingering
+    assert reserve + RESERVED_DESCRIPTORS + sides <= sockets
+    assert slots.max_active >= 4 and min(slots.max_waiting, slots.max_lingering) >= MIN_STAGE_SHARE
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,11 +8,11 @@
 from standins import WAIT, Runner, reset
 
 from aspensaddle.core.actions import CancelAttempt, StartAttempt
-from aspensaddle.frontends.line_protocol.clients import Clients
+from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
 from aspensaddle.frontends.line_protocol.link import Link
-from aspensaddle.frontends.line_protocol.pending import Pending
+from aspensaddle.frontends.line_protocol.request_state import RequestState
 from aspensaddle.frontends.line_protocol.relay import Relay
-from aspensaddle.frontends.line_protocol.servers import Servers
+from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 
 ANSWER = re.compile(rb"(UP s-0|BUSY( \d+)?|ERR)\r\n")
 PASSED = re.compile(rb"UP s-0\r\n(M 1\r\n)*(MOVE\r\n)?")
@@ -28,7 +28,7 @@
     def gate(self, name):
         gate = Gate()
         owner, _, attribute = name.rpartition(".")
-        target = {"servers": self.f.servers, "clients": self.f.clients}[owner]
+        target = {"connector": self.f.connector, "handler": self.f.frontend.handler}[owner]
         self.monkeypatch.setattr(target, attribute, gate.before(getattr(target, attribute)))
         self.gates.append(gate)
         return gate
@@ -40,7 +40,7 @@
 
 async def resting(p):
     p.peer = await p.f.client()
-    await p.f.until(lambda: p.f.clients.admission.open)
+    await p.f.until(lambda: p.f.frontend.admission.open)
 
 
 async def half_open(p):
@@ -49,7 +49,7 @@
 
 
 async def connecting(p):
-    gate = p.gate("servers._connect")
+    gate = p.gate("connector._connect")
     p.peer = await p.f.asks()
     await gate.reached.wait()
     p.f.runners[0].held = False
@@ -84,7 +84,7 @@
 
 
 async def answering(p):
-    gate = p.gate("clients._end")
+    gate = p.gate("handler._finish")
     await offered(p)
     p.runner.sendall(b"BUSY\r\n")
     p.f.change(p.f.runners[0].target(state="leaving"))  # no further attempt
@@ -105,7 +105,7 @@
 
 async def sigterm(p):
     p.f.nursery.start_soon(p.f.end)
-    await p.f.until(lambda: not p.f.clients.newcomers)
+    await p.f.until(lambda: not p.f.frontend.newcomers)
 
 
 async def sighup(p):
@@ -114,7 +114,7 @@
 
 async def client_ends(p):
     await p.peer.stream.send_eof()
-    if p.runner and p.f.clients.standing:
+    if p.runner and p.f.frontend.standing:
         assert await trio.to_thread.run_sync(read_out, p.runner)  # the end is passed on, and the runner ends too
         p.runner.shutdown(1)
 
@@ -147,10 +147,10 @@
 
 async def deadline(p):
     """The time of the request, or of the silence on its connection, is over."""
-    for pending in list(p.f.clients.placing.values()):
-        pending.attempt.deadline = trio.current_time()
-    for pending in list(p.f.clients.standing.values()):
-        pending.relay.sweep(trio.current_time() + 5)
+    for state in list(p.f.frontend.placing.values()):
+        state.attempt_scope.deadline = trio.current_time()
+    for state in list(p.f.frontend.standing.values()):
+        state.relay.check_silence(trio.current_time() + 5)
 
 
 EVENTS = [sigterm, sighup, client_ends, client_resets, runner_ends, runner_resets, drain, deadline]
@@ -179,14 +179,14 @@
                 if place in (connecting, offered, half_up):
                     await p.peer.line()
                 if place in (connecting, offered, half_up, *STANDING):
-                    for pending in f.clients.standing.values():
-                        pending.move()  # it stands still: have it end
+                    for state in f.frontend.standing.values():
+                        state.move()  # it stands still: have it end
             elif event is runner_resets and place in STANDING:
                 pass
             elif place in (connecting, offered, half_up) and event in (runner_ends, runner_resets, deadline):
                 await p.peer.line()
-                for pending in f.clients.standing.values():
-                    pending.move()
+                for state in f.frontend.standing.values():
+                    state.move()
         if event is not client_resets:
             await p.peer.rest()
             p.peer.stream.socket.close()
@@ -231,16 +231,16 @@
     """Also one that comes before the attempt has begun, or after the next was decided."""
 
     async def main():
-        pending = Pending(None)
-        pending.act(StartAttempt("r", 1, 1.0))
-        first = pending.attempt
-        pending.act(CancelAttempt("r", 0))
+        state = RequestState(None)
+        state.act(StartAttempt("r", 1, 1.0))
+        first = state.attempt_scope
+        state.act(CancelAttempt("r", 0))
         assert first.cancel_called
-        pending.act(StartAttempt("r", 2, 1.0))
-        pending.act(CancelAttempt("r", 0))
-        assert not pending.attempt.cancel_called
-        pending.act(CancelAttempt("r", 1))
-        assert pending.attempt.cancel_called
+        state.act(StartAttempt("r", 2, 1.0))
+        state.act(CancelAttempt("r", 0))
+        assert not state.attempt_scope.cancel_called
+        state.act(CancelAttempt("r", 1))
+        assert state.attempt_scope.cancel_called
 
     trio.run(main)
 
@@ -249,15 +249,15 @@
     pass
 
 
-async def _cut_short(clients, listener, phases, nursery):
-    clients.newcomers = False
+async def _cut_short(frontend, listener, phases, nursery):
+    frontend.newcomers = False
     await trio.sleep(0.01)
     nursery.cancel_scope.cancel()
 
 
-async def _twice(attempt, servers, server, first, *more):
-    await attempt(servers, server, first, *more)
-    return await attempt(servers, server, first, *more)
+async def _twice(attempt, connector, server, first, *more):
+    await attempt(connector, server, first, *more)
+    return await attempt(connector, server, first, *more)
 
 
 def ends_at_once(monkeypatch):
@@ -265,7 +265,7 @@
 
 
 def says_nothing(monkeypatch):
-    monkeypatch.setattr(Clients, "_end", _nothing)
+    monkeypatch.setattr(ConnectionHandler, "_finish", _nothing)
 
 
 def moves_nobody(monkeypatch):
@@ -273,8 +273,8 @@
 
 
 def sees_nobody_leave(monkeypatch):
-    monkeypatch.setattr(Pending, "client_is_connected", lambda pending: True)
-    monkeypatch.setattr(Pending, "watch", lambda pending: trio.sleep_forever())
+    monkeypatch.setattr(RequestState, "client_is_connected", lambda state: True)
+    monkeypatch.setattr(RequestState, "watch", lambda state: trio.sleep_forever())
 
 
 def says_it_twice(monkeypatch):
@@ -288,8 +288,8 @@
 
 
 def offers_again(monkeypatch):
-    attempt = Servers.attempt
-    monkeypatch.setattr(Servers, "attempt", lambda *args: _twice(attempt, *args))
+    attempt = ServerConnector.attempt
+    monkeypatch.setattr(ServerConnector, "attempt", lambda *args: _twice(attempt, *args))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -6,8 +6,8 @@
 import pytest
 from standins import SETTINGS, WAIT, Discovery, until
 
-from aspensaddle.frontends.line_protocol import admission
-from aspensaddle.frontends.line_protocol.servers import PROBE_LINKS, Servers
+from aspensaddle.frontends.line_protocol.connection_slots import ACCEPT_BATCH, RESERVED_DESCRIPTORS
+from aspensaddle.frontends.line_protocol.server_connector import MAX_HEALTH_CHECK_CONNECTIONS, ServerConnector
 
 PROBING = {
     **SETTINGS,
@@ -93,12 +93,12 @@
     """Listener, watch, loop, signals, standard streams: what is set aside covers it, with a second call and a file."""
     w = world()
     until(lambda: w.discovery.watches, "a watch")
-    until(lambda: w.program.descriptors() <= admission.FIXED - admission.BATCH - 2 - 2, "an idle process")
+    until(lambda: w.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process")
 
 
 @pytest.mark.parametrize(
     ("probes", "sockets", "most"),
-    [(False, 1024, 0), (True, 64, 4), (True, 128, 8), (True, 1024, 64), (True, 65536, PROBE_LINKS)],
+    [(False, 1024, 0), (True, 64, 4), (True, 128, 8), (True, 1024, 64), (True, 65536, MAX_HEALTH_CHECK_CONNECTIONS)],
 )
 def test_probes_stand_in_the_sum(probes, sockets, most):
     class Settings:
@@ -109,4 +109,4 @@
         settings = Settings
 
     Settings.limits.health_checks_allowed = probes
-    assert Servers(Driver, None, None, sockets).descriptors == most
+    assert ServerConnector(Driver, None, None, sockets).descriptors == most
--- a/tests/test_notes.py
+++ b/tests/test_load_report_parser.py
@@ -8,30 +8,41 @@
 from test_relay import relay
 
 from aspensaddle.core.actions import StartAttempt
-from aspensaddle.frontends.line_protocol.notes import Delay, Load, Notes, Teller
+from aspensaddle.frontends.line_protocol.load_report_parser import (
+    ConnectionLoad,
+    LatencySchedule,
+    LoadReportParser,
+    ServerLatency,
+)
 
 TELLS = replace(SETTINGS, servers_report_latency=True)  # deadlines of 3 s, message aims of 0.06 s
 
 
 def told(settings, *figures):
     """The notes of one connection that stands since 100 s, told (seconds after that, figure)."""
-    notes = Notes(settings, Teller(), 100.0)
-    return [notes.read(b"LOAD %s\r\n" % f, 100.0 + t) for t, f in figures]
+    parser = LoadReportParser(settings, LatencySchedule(), 100.0)
+    return [parser.parse(b"LOAD %s\r\n" % f, 100.0 + t) for t, f in figures]
 
 
 @pytest.mark.parametrize(
     "figures, last",
     [
-        ([(0.0, b"66000")], [Load(0.066)]),
-        ([(0.0, b"250")], [Load(0.00025)]),  # with the UP: a light connection's load
-        ([(0.0, b"66000"), (9.0, b"33000")], [Load(0.033)]),
-        ([(0.0, b"66000"), (9.0, b"3000")], [Load(0.003)]),  # no message takes as long as the longest deadline
-        ([(0.0, b"66000"), (9.0, b"2999")], [Delay(2.999)]),  # a load hardly falls to less than a twentieth
-        ([(0.0, b"66000"), (9.0, b"12.8")], [Delay(0.0128)]),
-        ([(0.0, b"6600"), (9.0, b"660")], [Load(0.00066)]),  # a light connection falls idle
-        ([(0.0, b"6600"), (9.0, b"660"), (12.0, b"660")], [Load(0.00066)]),
-        ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900")], [Load(0.0066), Delay(0.9)]),  # in step: it was none
-        ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900"), (11.01, b"800")], [Delay(0.8)]),
+        ([(0.0, b"66000")], [ConnectionLoad(0.066)]),
+        ([(0.0, b"250")], [ConnectionLoad(0.00025)]),  # with the UP: a light connection's load
+        ([(0.0, b"66000"), (9.0, b"33000")], [ConnectionLoad(0.033)]),
+        (
+            [(0.0, b"66000"), (9.0, b"3000")],
+            [ConnectionLoad(0.003)],
+        ),  # no message takes as long as the longest deadline
+        ([(0.0, b"66000"), (9.0, b"2999")], [ServerLatency(2.999)]),  # a load hardly falls to less than a twentieth
+        ([(0.0, b"66000"), (9.0, b"12.8")], [ServerLatency(0.0128)]),
+        ([(0.0, b"6600"), (9.0, b"660")], [ConnectionLoad(0.00066)]),  # a light connection falls idle
+        ([(0.0, b"6600"), (9.0, b"660"), (12.0, b"660")], [ConnectionLoad(0.00066)]),
+        (
+            [(0.0, b"6600"), (9.0, b"660"), (10.02, b"900")],
+            [ConnectionLoad(0.0066), ServerLatency(0.9)],
+        ),  # in step: it was none
+        ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900"), (11.01, b"800")], [ServerLatency(0.8)]),
     ],
 )
 def test_a_note_is_a_load_or_a_delay_by_what_it_can_be(figures, last):
@@ -39,14 +50,14 @@
 
 
 def test_two_connections_at_a_slow_runner_tell_in_step():
-    teller = Teller()
-    a, b = Notes(TELLS, teller, 90.0), Notes(TELLS, teller, 90.0)
-    assert a.read(b"LOAD 500", 100.0) == (Load(0.0005),)
-    assert b.read(b"LOAD 600", 101.0) == (Delay(0.6),)
+    schedule = LatencySchedule()
+    a, b = LoadReportParser(TELLS, schedule, 90.0), LoadReportParser(TELLS, schedule, 90.0)
+    assert a.parse(b"LOAD 500", 100.0) == (ConnectionLoad(0.0005),)
+    assert b.parse(b"LOAD 600", 101.0) == (ServerLatency(0.6),)
 
 
 def test_where_runners_tell_no_delays_every_note_is_a_load():
-    assert told(SETTINGS, (0.0, b"66000"), (9.0, b"250"))[-1] == (Load(0.00025),)
+    assert told(SETTINGS, (0.0, b"66000"), (9.0, b"250"))[-1] == (ConnectionLoad(0.00025),)
 
 
 @pytest.mark.parametrize("line", [b"", b"x", b"-1", b"nan", b"1e300"])
@@ -56,7 +67,7 @@
 
 def test_a_relay_tells_the_driver_of_both_kinds():
     async def script(client, runner, r):
-        r.notes = Notes(TELLS, Teller(), -10.0)
+        r.load_report_parser = LoadReportParser(TELLS, LatencySchedule(), -10.0)
         await runner.send_all(b"LOAD 250000\r\nLOAD 400\r\n")
         assert await client.receive_some(100) == b"LOAD 250000\r\nLOAD 400\r\n"
         r.stop()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,7 +12,7 @@
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.discovery.endpoint_update import parse_update
 from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
-from aspensaddle.frontends.line_protocol.opening import parse_open
+from aspensaddle.frontends.line_protocol.open_request import parse_open
 from aspensaddle.support.files import load_json
 from aspensaddle.support.hashing import stable_hash
 from aspensaddle.support.json_fields import DecodeError
@@ -81,7 +81,7 @@
         True,
         True,
     )
-    assert opened.first_line(0.7504) == OPEN.replace(b"d=2000", b"d=750")
+    assert opened.line_for_server(0.7504) == OPEN.replace(b"d=2000", b"d=750")
     again = parse_open(OPEN.replace(b"9b1f", b"0000"), CLASSES, groups=True).request
     assert (again.affinity_key, again.session_group) == (
         r.affinity_key,
@@ -90,7 +90,7 @@
     assert parse_open(OPEN, CLASSES, groups=False).request.session_group is None
     # a name that ends in d, or a d within a value, is not the wait
     line = b"OPEN i k c=test-run,end=5,d=9,x=d=1\r\n"
-    assert parse_open(line, CLASSES, True).first_line(1.0) == line.replace(b",d=9", b",d=1000")
+    assert parse_open(line, CLASSES, True).line_for_server(1.0) == line.replace(b",d=9", b",d=1000")
 
 
 # The seeds that these two had before an error was renamed: a derandomized test draws by the hash of its source.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from aspensaddle.core.events import Outcome
-from aspensaddle.frontends.line_protocol.clients import Clients
 from aspensaddle.frontends.line_protocol.errors import LineTooLongError
-from aspensaddle.frontends.line_protocol.link import LINE, Link
-from aspensaddle.frontends.line_protocol.notes import Notes, Teller
+from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
+from aspensaddle.frontends.line_protocol.link import MAX_LINE_BYTES, Link
+from aspensaddle.frontends.line_protocol.load_report_parser import LatencySchedule, LoadReportParser
 from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import BACKLOG, Log
@@ -54,7 +54,12 @@
     async def main():
         (client, ours), (theirs, runner) = pair(), pair()
         r = Relay(
-            Link(ours), Link(theirs), "id", Driver(), Counters(), Notes(SETTINGS, Teller(), trio.current_time())
+            Link(ours),
+            Link(theirs),
+            "id",
+            Driver(),
+            Counters(),
+            LoadReportParser(SETTINGS, LatencySchedule(), trio.current_time()),
         )
         moved = []
 
@@ -103,7 +108,7 @@
         r.stop()
 
     r, moved = relay(script)
-    assert moved and r.whole and r.driver.loads == [0.25]
+    assert moved and r.client_at_line_end and r.driver.loads == [0.25]
 
 
 @pytest.mark.parametrize(
@@ -154,20 +159,20 @@
         await client.send_all(b"M 1\r\n")
         await runner.receive_some(100)
         now = trio.current_time()
-        r.sweep(now + 2)
-        assert not r.silent and 1 < r.overdue(now + 2) < 3
-        r.sweep(now + 6)
+        r.check_silence(now + 2)
+        assert not r.server_silent and 1 < r.echo_overdue(now + 2) < 3
+        r.check_silence(now + 6)
 
     r, moved = relay(script)
-    assert r.silent and moved
+    assert r.server_silent and moved
 
 
 def test_lines_and_buffers_are_bound():
     async def main():
         a, b = pair()
-        await a.send_all(b"x" * (LINE + 10))
+        await a.send_all(b"x" * (MAX_LINE_BYTES + 10))
         with pytest.raises(LineTooLongError):
-            await Link(b).line()
+            await Link(b).read_line()
 
     trio.run(main)
 
@@ -199,16 +204,16 @@
         events = []
         log = SimpleNamespace(event=lambda name, **more: events.append(name))
         config = SimpleNamespace(sockets=100, classes={"test-run": 0}, settings=Faulty.settings)
-        clients = Clients(config, Faulty(), SimpleNamespace(descriptors=0), None, Counters(), log)
+        frontend = LineProtocolFrontend(config, Faulty(), SimpleNamespace(descriptors=0), None, Counters(), log)
         with trio.fail_after(20):
             for _ in range(2):
                 a, b = pair()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(clients._client, b, trio.current_time(), 0)
+                    nursery.start_soon(frontend.handler.handle, b, trio.current_time(), 0)
                     await a.send_all(b"OPEN i k c=test-run,d=500\r\n")
                     assert await a.receive_some(100) == b"ERR\r\n"
                     await a.aclose()
-        assert events == ["fault", "fault"] and clients.counters["faults"] == 2
-        assert clients.admission.open == 0
+        assert events == ["fault", "fault"] and frontend.counters["faults"] == 2
+        assert frontend.admission.open == 0
 
     trio.run(main)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -12,14 +12,12 @@
     "aspensaddle/conformance/front.py",
     "aspensaddle/conformance/peers.py",
     "aspensaddle/core/balancer.py",
-    "aspensaddle/frontends/line_protocol/clients.py",
     "aspensaddle/frontends/quic/placing.py",
 }
 OVERSIZED_FUNCTIONS = {
     "aspensaddle/conformance/peers.py:__init__",
     "aspensaddle/daemon/service.py:__init__",
     "aspensaddle/daemon/shutdown.py:shut_down",
-    "aspensaddle/frontends/line_protocol/clients.py:_request",
     "aspensaddle/frontends/quic/engine.py:_initial",
     "aspensaddle/importer/nginx.py:build",
 }
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -184,7 +184,7 @@
         for peer in peers:
             await peer.line()
         await f.end()
-        assert not f.clients.admission.open
+        assert not f.frontend.admission.open
         for peer in peers:
             assert (await peer.rest()).endswith(b"MOVE\r\n") and not peer.was_reset
             peer.stream.socket.close()
@@ -201,12 +201,12 @@
     async def script(f):
         peer = await f.asks()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
-        assert f.clients.left == f.clients.admission.asking == 1
+        assert f.frontend.left == f.frontend.admission.active == 1
         f.nursery.start_soon(f.end)
-        await f.until(lambda: f.clients.moving)
+        await f.until(lambda: f.frontend.moving)
         connection.sendall(b"UP s-0\r\n")
         assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
-        assert f.clients.left == 0 and f.driver.now() < f.driver._attempts_end_at  # at once, not with the last
+        assert f.frontend.left == 0 and f.driver.now() < f.driver._attempts_end_at  # at once, not with the last
         peer.stream.socket.close()
         await f.gone()
 
@@ -216,15 +216,15 @@
 def test_who_is_given_up_in_the_moment_of_its_up_is_told_as_that():
     runner = Runner("s-0")
     front = Inside([runner])
-    attempt = front.servers.attempt
+    attempt = front.connector.attempt
 
     async def and_given_up(*args):
         tried = await attempt(*args)
-        front.clients.give_up_all()
+        front.frontend.give_up_all()
         return tried
 
     async def script(f):
-        f.servers.attempt = and_given_up
+        f.connector.attempt = and_given_up
         peer = await f.asks()
         assert (await peer.rest()).startswith(b"BUSY")
         peer.stream.socket.close()
