--- a/benchmarks/roll_world.py
+++ b/benchmarks/roll_world.py
@@ -96,7 +96,7 @@
     turn: int = 0  # counts changes of state: what was due for an older one is void
     front: Front | None = None
     module: Balancer | None = None
-    id: str = ""
+    request_id: str = ""
     attempt: int = -1
     server: int = -1
     sent_at: float = 0.0
@@ -385,14 +385,20 @@
         fronts = [f for f in self.fronts if f.zone == c.zone and not f.out] or [f for f in self.fronts if not f.out]
         f = c.front = self.draw.choices(fronts, [f.weight for f in fronts])[0]
         self.count += 1
-        c.turn, c.module, c.id, c.attempt, c.state = c.turn + 1, f.module, f"{c.key}.{self.count}", -1, "asking"
+        c.turn, c.module, c.request_id, c.attempt, c.state = (
+            c.turn + 1,
+            f.module,
+            f"{c.key}.{self.count}",
+            -1,
+            "asking",
+        )
         request = Request(
-            c.id,
+            c.request_id,
             c.cls,
             DEADLINE[c.cls],
             affinity_key=c.key,
             session_group=c.group,
-            repeat=c.repeats > 0,
+            retried_by_client=c.repeats > 0,
             reconnecting=c.returning,
         )
         if adopted is None:
@@ -435,7 +441,7 @@
 
     def failed(self, c: Client, outcome: Outcome) -> None:
         assert c.front
-        self.feed(c.front, AttemptEnded(c.id, c.attempt, c.server, outcome, self.now - c.sent_at))
+        self.feed(c.front, AttemptEnded(c.request_id, c.attempt, c.server, outcome, self.now - c.sent_at))
 
     def established(self, c: Client) -> None:
         r = self.runners[c.server]
@@ -443,7 +449,7 @@
             self.failed(c, Outcome.UNREACHABLE)
             return
         assert c.front
-        self.feed(c.front, ConnectionEstablished(c.id, c.attempt, c.server, self.now - c.sent_at))
+        self.feed(c.front, ConnectionEstablished(c.request_id, c.attempt, c.server, self.now - c.sent_at))
         self.up(c)
         if r.state == "drains":
             self.tally("drained")
@@ -467,7 +473,7 @@
             r.load, c.load = r.load + load - c.load, load
         self.then(c, self.draw.uniform(6.0, 18.0), self.note)
         if not r.hung(self.now):
-            self.feed(c.front, ConnectionLoadReported(c.id, c.server, c.load))
+            self.feed(c.front, ConnectionLoadReported(c.request_id, c.server, c.load))
 
     def leave(self, c: Client) -> None:
         """The connection is off its runner."""
@@ -486,7 +492,7 @@
         if self.runners[c.server].state == "fallen":
             c.state = "fallen"
         if heard:
-            self.feed(c.front, AttemptEnded(c.id, c.attempt, c.server, outcome, 0.0, True))
+            self.feed(c.front, AttemptEnded(c.request_id, c.attempt, c.server, outcome, 0.0, True))
         moved = outcome is Outcome.CANCELLED and self.runners[c.server].state == "runs"
         self.then(c, self.draw.uniform(*(REJOIN_MOVED if moved else REJOIN)), self.ask)
 
@@ -504,9 +510,9 @@
         if c.state == "up":
             self.leave(c)
             assert c.front
-            self.feed(c.front, AttemptEnded(c.id, c.attempt, c.server, Outcome.OK, 0.0, True))
+            self.feed(c.front, AttemptEnded(c.request_id, c.attempt, c.server, Outcome.OK, 0.0, True))
         elif c.state == "asking" and c.front and not c.front.out:
-            self.feed(c.front, ClientDisconnected(c.id))
+            self.feed(c.front, ClientDisconnected(c.request_id))
         c.turn, c.state = c.turn + 1, "done"
         del self.clients[c.key]
 
@@ -585,7 +591,9 @@
         """Once a second, as the driver tells of lines that do not come back."""
         for n, held in list(f.up.items()):
             if held and self.runners[n].hung(self.now):
-                self.feed(f, ServerLatencyReported(next(iter(held.values())).id, n, self.runners[n].delay(self.now)))
+                self.feed(
+                    f, ServerLatencyReported(next(iter(held.values())).request_id, n, self.runners[n].delay(self.now))
+                )
 
     def account(self) -> None:
         served = {n: [r.answers(self.now, cls) for cls in (0, 1)] for n, r in self.runners.items()}
