--- a/aspensaddle/importer/__init__.py
+++ b/aspensaddle/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Other programs' configuration to this one's. See `docs/importer.md`."""
+"""Imports the configuration of other programs. See `docs/importer.md`."""
--- /dev/null
+++ b/aspensaddle/importer/directives.py
@@ -0,0 +1,47 @@
+"""Parses nginx files into typed directives."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from typing import Any
+
+import crossplane
+
+from aspensaddle.importer.problems import Problem, UnreadableFile
+from aspensaddle.support.json_fields import Message
+
+
+@dataclass(frozen=True, slots=True)
+class Directive:
+    """One directive of a file. `block` is None for a directive without braces."""
+
+    file: str
+    line: int
+    name: str
+    arguments: tuple[str, ...]
+    block: tuple[Directive, ...] | None
+
+
+def parse_file(path: str) -> tuple[list[Directive], list[Problem]]:
+    """Return the directives of a file and of those it includes, and what could not be parsed."""
+    payload: dict[str, Any] = crossplane.parse(path, combine=True, check_ctx=False, check_args=False)
+    problems: list[Problem] = [_parse_problem(error) for error in payload["errors"]]
+    directives = [_directive(parsed) for config in payload["config"] for parsed in config["parsed"]]
+    return directives, problems
+
+
+def _parse_problem(error: Message) -> Problem:
+    reason = re.sub(r" in \S+:\d+$", "", str(error["error"]))  # the problem itself names the place
+    return UnreadableFile(error["file"], error.get("line") or 0, reason)
+
+
+def _directive(parsed: Message) -> Directive:
+    block = parsed.get("block")
+    return Directive(
+        file=str(parsed.get("file", "")),
+        line=int(parsed.get("line") or 0),
+        name=parsed["directive"],
+        arguments=tuple(parsed["args"]),
+        block=None if block is None else tuple(_directive(inner) for inner in block),
+    )
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -11,7 +11,8 @@
 from standins import ROOT, WAIT, Client, Runner, free_port, until
 
 from aspensaddle.daemon.config import parse_config
-from aspensaddle.importer.nginx import class_name, convert
+from aspensaddle.importer.converter import convert
+from aspensaddle.importer.mapping import request_class_name
 
 GOOD = """events {}
 http {
@@ -58,7 +59,7 @@
         (9002, 1.0, "ready"),
         (9003, 1.0, "draining"),
     ]
-    assert class_name("/") == "root"
+    assert request_class_name("/") == "root"
 
 
 @pytest.mark.parametrize(
@@ -80,6 +81,10 @@
         ("timeout 1200ms", "timeout soon", 14, "soon"),
         ("events {}", "worker_processes 4;", 1, "worker_processes"),
         ("events {}", "include nowhere.conf;", 1, "nowhere"),
+        ("events {}", "events;", 1, "events"),
+        ("events {}", "http;", 1, "http"),
+        ("events {}", "upstream runners;", 1, "upstream"),
+        ("events {}", "location /test-run;", 1, "location"),
         ("location /draft/save/", "location /test-run/", 17, "second class"),
         ("      proxy_next_upstream_tries 4;\n    }\n  }", "    }\n  }", 17, "as at line 10"),
         ("  }\n}\n", "  }\n", 23, "end of file"),
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -21,7 +21,6 @@
     "aspensaddle/daemon/shutdown.py:shut_down",
     "aspensaddle/frontends/line_protocol/clients.py:_request",
     "aspensaddle/frontends/quic/engine.py:_initial",
-    "aspensaddle/importer/nginx.py:build",
 }
 
 
