--- a/aspensaddle/conformance/cases/version2.py
+++ b/aspensaddle/conformance/cases/version2.py
@@ -1,7 +1,7 @@
 """RFC 9369, version 2, and RFC 9368, version negotiation that is compatible or not."""
 
-from aspensaddle.conformance import craft
-from aspensaddle.conformance.bed import Bed, Spec
+from aspensaddle.conformance import packet_builder
+from aspensaddle.conformance.testbed import Testbed, TestbedSetup
 from aspensaddle.conformance.cases.handshakes import taken
 from aspensaddle.conformance.peers import V1, V2
 from aspensaddle.conformance.suite import case
@@ -9,57 +9,65 @@
 
 
 @case("9369-3", "A client of version 2 is placed, served, and found after it moves")
-def version_2(bed: Bed) -> None:
-    (client,) = bed.ready(versions=(V2,))
-    home = bed.ask(client)
+def version_2(testbed: Testbed) -> None:
+    (client,) = testbed.connected_clients(versions=(V2,))
+    home = testbed.ask(client)
     client.rebind()
     client.change_id()
-    bed.check(bed.ask(client, b"again") == home, "the same runner")
+    testbed.check(testbed.ask(client, b"again") == home, "the same runner")
 
 
 @case("9369-3.3", "An Initial of version 2 under version 1's keys opens nothing, nor the other way round")
-def version_2_keys(bed: Bed) -> None:
-    frames = craft.crypto(0, craft.client_hello())
-    one, two = craft.initial(bed.id, craft.SCID, frames, V1), craft.initial(bed.id, craft.SCID, frames, V2)
-    bed.check(not taken(bed, two[:1] + V1.to_bytes(4, "big") + two[5:]), "2 as 1")
-    bed.check(not taken(bed, one[:1] + V2.to_bytes(4, "big") + one[5:]), "1 as 2")
+def version_2_keys(testbed: Testbed) -> None:
+    frames = packet_builder.crypto_frame(0, packet_builder.client_hello())
+    one, two = (
+        packet_builder.initial_packet(testbed.id, packet_builder.CLIENT_CONNECTION_ID, frames, V1),
+        packet_builder.initial_packet(testbed.id, packet_builder.CLIENT_CONNECTION_ID, frames, V2),
+    )
+    testbed.check(not taken(testbed, two[:1] + V1.to_bytes(4, "big") + two[5:]), "2 as 1")
+    testbed.check(not taken(testbed, one[:1] + V2.to_bytes(4, "big") + one[5:]), "1 as 2")
 
 
 @case("9369-3.2", "Packet types have other numbers in version 2: its Retry type opens nothing as an Initial")
-def version_2_types(bed: Bed) -> None:
-    data = craft.initial(bed.id, craft.SCID, craft.crypto(0, craft.client_hello()), V2)
-    bed.check(not taken(bed, bytes([data[0] & ~0x30]) + data[1:]), "type 0 is none")
-    bed.check(data[0] >> 4 & 3 == 1 and taken(bed, data), "an Initial has type 1")
+def version_2_types(testbed: Testbed) -> None:
+    data = packet_builder.initial_packet(
+        testbed.id,
+        packet_builder.CLIENT_CONNECTION_ID,
+        packet_builder.crypto_frame(0, packet_builder.client_hello()),
+        V2,
+    )
+    testbed.check(not taken(testbed, bytes([data[0] & ~0x30]) + data[1:]), "type 0 is none")
+    testbed.check(data[0] >> 4 & 3 == 1 and taken(testbed, data), "an Initial has type 1")
 
 
 @case("9369-4", "A client that begins in version 1 and offers 2 is moved to it by the runner")
-def compatible_negotiation(bed: Bed) -> None:
-    (client,) = bed.ready(versions=(V2, V1), original=V1)
-    home = bed.ask(client)
-    bed.check(client.connection._version == V2, f"version 2, not {client.connection._version}")
-    bed.check(client.sent[0][1:5] == V1.to_bytes(4, "big"), "begun in version 1")
+def compatible_negotiation(testbed: Testbed) -> None:
+    (client,) = testbed.connected_clients(versions=(V2, V1), original=V1)
+    home = testbed.ask(client)
+    testbed.check(client.connection._version == V2, f"version 2, not {client.connection._version}")
+    testbed.check(client.sent[0][1:5] == V1.to_bytes(4, "big"), "begun in version 1")
     client.rebind()
-    bed.check(bed.ask(client, b"again") == home, "the same runner")
+    testbed.check(testbed.ask(client, b"again") == home, "the same runner")
 
 
 @case(
     "9368-2.1",
     "A runner's Version Negotiation reaches the client, which comes again with another version there",
-    Spec(modes=("ok",)),
+    TestbedSetup(modes=("ok",)),
 )
-def incompatible_negotiation(bed: Bed) -> None:
-    bed.runners[0].versions = (V2,)
+def incompatible_negotiation(testbed: Testbed) -> None:
+    testbed.servers[0].versions = (V2,)
     try:
-        client = bed.client(versions=(V1, V2))
-        bed.wait(lambda: client.ready, "the handshake is done")
-        bed.ask(client)
-        bed.check(client.connection._version == V2, "in version 2")
+        client = testbed.client(versions=(V1, V2))
+        testbed.wait(lambda: client.ready, "the handshake is done")
+        testbed.ask(client)
+        testbed.check(client.connection._version == V2, "in version 2")
     finally:
-        bed.runners[0].versions = (V1, V2)
+        testbed.servers[0].versions = (V1, V2)
 
 
-@case("9369-3", "A refusal of a version 2 client is in version 2", Spec(modes=("refuse",)))
-def version_2_refusal(bed: Bed) -> None:
-    client = bed.client(versions=(V2,))
-    bed.wait(lambda: client.ended, "a refusal")
-    bed.check(client.ended[0].error_code == CONNECTION_REFUSED, "CONNECTION_REFUSED")
+@case("9369-3", "A refusal of a version 2 client is in version 2", TestbedSetup(modes=("refuse",)))
+def version_2_refusal(testbed: Testbed) -> None:
+    client = testbed.client(versions=(V2,))
+    testbed.wait(lambda: client.ended, "a refusal")
+    testbed.check(client.ended[0].error_code == CONNECTION_REFUSED, "CONNECTION_REFUSED")
--- /dev/null
+++ b/aspensaddle/conformance/memory_frontend.py
@@ -0,0 +1,194 @@
+"""The engine under test without sockets, in simulated time."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+from aspensaddle.conformance.frontend import CLASSES, platform_settings
+from aspensaddle.conformance.link import Link
+from aspensaddle.conformance.net import Address, MemoryNet
+from aspensaddle.core.driver import Driver
+from aspensaddle.core.settings_parser import parse_settings
+from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.frontends.quic.engine import Engine
+from aspensaddle.frontends.quic.packets import Malformed
+from aspensaddle.frontends.quic.session import Path as QuicPath
+from aspensaddle.frontends.quic.settings import load_quic
+from aspensaddle.support.counters import Counters
+from aspensaddle.support.files import ConfigError
+
+SWEEP_INTERVAL = 0.1  # s
+UNREACHABLE_DELAY = 0.0002  # s, until the network tells that nobody has an address
+
+
+class _NullLog:
+    """A log that keeps nothing."""
+
+    def event(self, event: str, **fields: Any) -> None:
+        """Do nothing: a service that the engine does not need here."""
+
+    def seldom(self, event: str, **fields: Any) -> None:
+        """Do nothing: a service that the engine does not need here."""
+
+
+class MemoryFrontend:
+    """The engine, the driver and the balancer in the time of a `MemoryNet`."""
+
+    def __init__(
+        self,
+        net: MemoryNet,
+        folder: Path,
+        toml: str,
+        targets: list[dict[str, Any]],
+        deadline: float = 3.0,
+        seed: int = 1,
+        files: dict[str, str] | None = None,
+        address: Address | None = None,
+    ) -> None:
+        """Start an engine in `net`, at `address` if one is given, and all else as for `ProcessFrontend`."""
+        self.net, self.folder, self._deadline, self._seed = net, folder, deadline, seed
+        folder.mkdir(parents=True, exist_ok=True)
+        self.link_in, self.link_out = Link(), Link()
+        for file, content in (files or {}).items():
+            (folder / file).write_text(content)
+        self._toml, self._targets = toml, targets
+        net.bind(self)
+        if address is not None:
+            self.address = address
+            net.claim(self, [address])
+        self.restart()
+
+    def restart(self) -> None:
+        """Start anew: only the files and the endpoint list are kept."""
+        self.counters, self.faults = Counters(), list[str]()
+        self.fleet = Fleet(("here",))
+        self.driver = Driver(parse_settings(platform_settings(self._deadline)), self._seed, self, self.net.now)
+        loaded = load_quic(self._file(self._toml), CLASSES)
+        assert loaded is not None
+        self.engine = Engine(
+            loaded,
+            self.driver,
+            self.fleet,
+            self.counters,
+            _NullLog(),  # type: ignore[arg-type]
+            self,
+            self.net.now,
+            self.net.now(),
+        )
+        self._next_sweep = self.net.now()
+        self._slots: set[int] = set()
+        self.driver.start(self.fleet.take(parse_update({"rev": 1, "all": True, "targets": self._targets})))
+
+    def _file(self, toml: str) -> Path:
+        path = self.folder / "quic.toml"
+        path.write_text(toml.replace("LISTEN", f"{self.address[0]}:{self.address[1]}"))
+        return path
+
+    # Wire of the engine, and the other side of its sockets
+
+    def to_client(self, data: bytes, peer: Address) -> None:
+        """Send a datagram to a client (the engine's wire)."""
+        self.net.carry(data, self.address, peer)
+
+    def to_runner(self, data: bytes, path: QuicPath) -> None:
+        """Send a datagram to a server (the engine's wire)."""
+        if self.net.reaches(path.runner):
+            self.net.carry(data, self._slot_address(path.slot), path.runner)
+        else:
+            slot, runner = path.slot, path.runner
+            self.net.later(UNREACHABLE_DELAY, lambda: self.engine.unreachable(slot, runner))
+
+    def open(self, slot: int) -> bool:
+        """Open a socket towards the servers; return whether there is one (the engine's wire)."""
+        if slot not in self._slots:
+            self._slots.add(slot)
+            self.net.claim(_Slot(self, slot), [self._slot_address(slot)])
+        return True
+
+    def _slot_address(self, slot: int) -> Address:
+        return (f"127.1.{self.address[1] // 256}.{self.address[1] % 256}", 1 + slot)
+
+    def received(self, data: bytes, source: Address) -> None:
+        """Handle a datagram from a client."""
+        self.engine.step(self.net.now())
+        self.counters.add("quic datagrams in")
+        try:
+            self.engine.from_client(data, source)
+        except Malformed:
+            self.counters.add("quic malformed")
+
+    def timer(self) -> float | None:
+        """Return the time of the next timer, in seconds."""
+        at = self.engine.next_timer()
+        wait = self.driver.next_timer()
+        return min(
+            self._next_sweep,
+            *(t for t in (at, None if wait is None else self.net.now() + wait) if t is not None),
+            self._next_sweep,
+        )
+
+    def expired(self) -> None:
+        """Run the timers that are due."""
+        self.driver.run_timers()
+        self.engine.step(self.net.now())
+        if self.net.now() >= self._next_sweep:
+            self._next_sweep = self.net.now() + SWEEP_INTERVAL
+            self.engine.sweep()
+
+    # Services of the driver
+
+    def watch_endpoints(self) -> None:
+        """Do nothing: a service that the engine does not need here."""
+
+    def check_health(self, server: int) -> None:
+        """Do nothing: a service that the engine does not need here."""
+
+    def timers_changed(self) -> None:
+        """Do nothing: a service that the engine does not need here."""
+
+    # Frontend
+
+    def replace_endpoints(self, targets: list[dict[str, Any]]) -> None:
+        """Replace the whole endpoint list."""
+        self._targets = targets
+        update = parse_update({"rev": 1, "all": True, "targets": targets})
+        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+
+    def configure(self, toml: str) -> bool:
+        """Load another operator's file; return whether it was accepted."""
+        try:
+            loaded = load_quic(self._file(toml), CLASSES)
+        except ConfigError:
+            return False
+        assert loaded is not None
+        self._toml = toml
+        self.engine.configure(loaded)
+        return True
+
+    def counts(self) -> dict[str, int]:
+        """Return the counters."""
+        return dict(self.counters)
+
+    def close(self) -> None:
+        """Take the front end off the network."""
+        self.net.drop(self)
+
+
+class _Slot:
+    """One of the engine's sockets towards servers."""
+
+    def __init__(self, frontend: MemoryFrontend, slot: int) -> None:
+        self._frontend, self._slot = frontend, slot
+        self.address: Address = ("", 0)
+        self.link_in, self.link_out = Link(), Link()
+
+    def received(self, data: bytes, source: Address) -> None:
+        self._frontend.engine.step(self._frontend.net.now())
+        self._frontend.engine.from_runner(data, self._slot, source)
+
+    def timer(self) -> float | None:
+        return None
+
+    def expired(self) -> None: ...
--- a/aspensaddle/conformance/craft.py
+++ b/aspensaddle/conformance/packet_builder.py
@@ -13,8 +13,8 @@
 from aspensaddle.frontends.quic.initial import CLOSE, CRYPTO, InitialKeys
 from aspensaddle.frontends.quic.packets import long_packets
 
-SCID = b"client"  # of clients made by hand
-FULL = 1200  # octets of a datagram with a client's Initial
+CLIENT_CONNECTION_ID = b"client"  # of clients made by hand
+INITIAL_DATAGRAM_SIZE = 1200  # octets of a datagram with a client's Initial
 
 
 def client_hello(
@@ -22,7 +22,7 @@
     alpn: tuple[str, ...] = ("lines",),
     large: bool = False,
     size: int = 0,
-    scid: bytes = SCID,
+    scid: bytes = CLIENT_CONNECTION_ID,
 ) -> bytes:
     """A whole TLS ClientHello, of at least `size` octets, of a client whose id is `scid`."""
     if size:
@@ -42,22 +42,22 @@
     return b"".join(pieces[offset] for offset in sorted(pieces))
 
 
-def crypto(offset: int, data: bytes) -> bytes:
+def crypto_frame(offset: int, data: bytes) -> bytes:
     return bytes([CRYPTO]) + encode_uint_var(offset) + encode_uint_var(len(data)) + data
 
 
-def close(code: int) -> bytes:
+def connection_close_frame(code: int) -> bytes:
     return bytes([CLOSE]) + encode_uint_var(code) + b"\x00\x00"
 
 
-def initial(
+def initial_packet(
     dcid: bytes,
     scid: bytes,
     frames: bytes,
     version: int = 1,
     token: bytes = b"",
     number: int = 0,
-    size: int = FULL,
+    size: int = INITIAL_DATAGRAM_SIZE,
     keys_from: bytes | None = None,
     server: bool = False,
 ) -> bytes:
@@ -81,24 +81,24 @@
     return pair.encrypt_packet(header, payload, number)
 
 
-def long_header(version: int, dcid: bytes, scid: bytes, rest: bytes, first: int = 0xC3) -> bytes:
+def long_header_packet(version: int, dcid: bytes, scid: bytes, rest: bytes, first: int = 0xC3) -> bytes:
     """A long header by the invariants alone (RFC 8999, 5.1)."""
     return bytes([first]) + version.to_bytes(4, "big") + bytes([len(dcid)]) + dcid + bytes([len(scid)]) + scid + rest
 
 
-def early_data(dcid: bytes, scid: bytes, version: int = 1, size: int = 300) -> bytes:
+def zero_rtt_packet(dcid: bytes, scid: bytes, version: int = 1, size: int = 300) -> bytes:
     """A 0-RTT packet whose sealed part is noise: nobody but its runner could tell."""
     first = encode_long_header_first_byte(version, QuicPacketType.ZERO_RTT, 1)
     body = os.urandom(size)
-    return long_header(version, dcid, scid, (len(body) | 0x4000).to_bytes(2, "big") + body, first)
+    return long_header_packet(version, dcid, scid, (len(body) | 0x4000).to_bytes(2, "big") + body, first)
 
 
-def handshake(dcid: bytes, scid: bytes, version: int = 1, size: int = 200) -> bytes:
+def handshake_packet(dcid: bytes, scid: bytes, version: int = 1, size: int = 200) -> bytes:
     first = encode_long_header_first_byte(version, QuicPacketType.HANDSHAKE, 1)
     body = os.urandom(size)
-    return long_header(version, dcid, scid, (len(body) | 0x4000).to_bytes(2, "big") + body, first)
+    return long_header_packet(version, dcid, scid, (len(body) | 0x4000).to_bytes(2, "big") + body, first)
 
 
-def short(dcid: bytes, size: int = 60, first: int = 0x41) -> bytes:
+def short_header_packet(dcid: bytes, size: int = 60, first: int = 0x41) -> bytes:
     """A short header with noise behind it."""
     return bytes([first]) + dcid + os.urandom(max(0, size - 1 - len(dcid)))
--- a/aspensaddle/conformance/peers.py
+++ b/aspensaddle/conformance/peers.py
@@ -63,7 +63,7 @@
     return configuration
 
 
-class ServerSide(QuicConnection):
+class ServerConnection(QuicConnection):
     """A server's side whose ids are made by the runner."""
 
     def __init__(self, issue: Callable[[], bytes], **more: Any) -> None:
@@ -87,7 +87,7 @@
         return [known.cid for known in self._host_cids]
 
 
-class Runner:
+class QuicServer:
     """Answers each stream with its uid and what was said.
 
     `mode`: ok, retry (its own), negotiate (knows version 2 only), refuse, fail, silent, generous (answers with
@@ -121,10 +121,10 @@
         self.seen: deque[bytes] = deque(maxlen=1000)  # the latest datagrams that came
         self.early = 0  # streams that came in 0-RTT
         self.tokens_seen: list[Verdict] = []
-        self.held: list[ServerSide] = []
-        self._by_id: dict[bytes, ServerSide] = {}
+        self.held: list[ServerConnection] = []
+        self._by_id: dict[bytes, ServerConnection] = {}
         self._lengths: set[int] = set()
-        self._by_peer: dict[Address, ServerSide] = {}
+        self._by_peer: dict[Address, ServerConnection] = {}
         net.bind(self)
 
     def close(self) -> None:
@@ -157,7 +157,7 @@
             connection.receive_datagram(data, source, self.net.now())
             self._after(connection)
 
-    def _find(self, data: bytes, source: Address) -> ServerSide | None:
+    def _find(self, data: bytes, source: Address) -> ServerConnection | None:
         if data[0] & 0x80:
             dcid = parse_invariants(data).dcid
             return self._by_id.get(dcid) if dcid else self._by_peer.get(source)
@@ -166,7 +166,7 @@
                 return found
         return self._by_peer.get(source)
 
-    def _unknown(self, data: bytes, source: Address) -> ServerSide | None:
+    def _unknown(self, data: bytes, source: Address) -> ServerConnection | None:
         """A client's first Initial, as far as this runner takes it."""
         try:
             header = pull_quic_header(Buffer(data=data), host_cid_length=8)
@@ -194,7 +194,7 @@
             return self._begin(dcid, header.token, source)
         return None
 
-    def _begin(self, dcid: bytes, token: bytes, source: Address) -> ServerSide:
+    def _begin(self, dcid: bytes, token: bytes, source: Address) -> ServerConnection:
         original, retried = dcid, None
         if self.mode == "retry" and token:
             original, retried = token, dcid
@@ -214,7 +214,7 @@
             certificate=server_configuration().certificate,
             private_key=server_configuration().private_key,
         )
-        connection = ServerSide(
+        connection = ServerConnection(
             self.issue,
             configuration=configuration,
             original_destination_connection_id=original,
@@ -237,7 +237,7 @@
                 connection.handle_timer(self.net.now())
                 self._after(connection)
 
-    def _after(self, connection: ServerSide) -> None:
+    def _after(self, connection: ServerConnection) -> None:
         while (event := connection.next_event()) is not None:
             if isinstance(event, events.StreamDataReceived) and event.end_stream:
                 self.asked.append(event.data)
@@ -257,7 +257,7 @@
             self.net.send(self, data, to)
 
 
-class ClientSide(QuicConnection):
+class ClientConnection(QuicConnection):
     """A client's side, also without ids of its own, as browsers have none."""
 
     def _replenish_connection_ids(self) -> None:
@@ -265,14 +265,14 @@
             super()._replenish_connection_ids()
 
 
-class Client:
+class QuicClient:
     """A browser's side. It can change its port, its ids and its balancer, and knows a stateless reset when it sees
     one. `hold` keeps what it would send in `held` for the case to send as it likes."""
 
     def __init__(
         self,
         net: Net,
-        front: Address,
+        frontend_address: Address,
         name: str | None = "x.example",
         alpn: tuple[str, ...] = ALPN,
         versions: tuple[int, ...] = (V1,),
@@ -286,7 +286,7 @@
         link_in: Link | None = None,
         link_out: Link | None = None,
     ) -> None:
-        self.net, self.front = net, front
+        self.net, self.frontend_address = net, frontend_address
         self.link_in, self.link_out = link_in or Link(), link_out or Link()
         self.address: Address = ("", 0)
         self.answers: list[bytes] = []
@@ -299,7 +299,7 @@
         self.tickets: list[SessionTicket] = []
         self.tokens: set[bytes] = set()
         net.bind(self)
-        self.connection = ClientSide(
+        self.connection = ClientConnection(
             configuration=QuicConfiguration(
                 is_client=True,
                 alpn_protocols=list(alpn),
@@ -319,7 +319,7 @@
             self._identify(id_length)
         if early:
             self.connection.send_stream_data(self.connection.get_next_available_stream_id(), early, True)
-        self.connection.connect(front, now=net.now())
+        self.connection.connect(frontend_address, now=net.now())
         self.flush()
 
     def _identify(self, length: int) -> None:
@@ -353,7 +353,7 @@
         if len(self.sent) < 8:
             self.sent.append(data)
         self.out_octets += len(data)
-        self.net.send(self, data, self.front)
+        self.net.send(self, data, self.frontend_address)
 
     def received(self, data: bytes, source: Address) -> None:
         self.datagrams_in += 1
@@ -391,7 +391,7 @@
         self.net.drop(self)
 
 
-class Raw:
+class RawEndpoint:
     """An address that sends whatever it is given, and keeps what comes."""
 
     def __init__(self, net: Net) -> None:
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -11,10 +11,20 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from aspensaddle.conformance.bed import Bed, Failed, NotApplicable, Spec
+from aspensaddle.conformance.testbed import Testbed, RequirementNotMetError, NotApplicableError, TestbedSetup
 
 # Numbers follow this order and that of the cases in each.
-FILES = ("invariants", "handshakes", "addresses", "retries", "ends", "sealed", "version2", "routable", "troubles")
+FILES = (
+    "invariants",
+    "handshakes",
+    "addresses",
+    "retries",
+    "ends",
+    "protected_packets",
+    "version2",
+    "routable",
+    "faults",
+)
 PASSED, FAILED, NOT_APPLICABLE = "passed", "failed", "not applicable"
 
 
@@ -25,8 +35,8 @@
     number: int
     section: str
     says: str
-    spec: Spec
-    run: Callable[[Bed], None]
+    setup: TestbedSetup
+    run: Callable[[Testbed], None]
     slow: bool  # left out of the quick part
 
     @property
@@ -49,12 +59,12 @@
 
 
 def case(
-    section: str, says: str, spec: Spec | None = None, slow: bool = False
-) -> Callable[[Callable[[Bed], None]], Callable[[Bed], None]]:
+    section: str, says: str, setup: TestbedSetup | None = None, slow: bool = False
+) -> Callable[[Callable[[Testbed], None]], Callable[[Testbed], None]]:
     """Register a case. Numbers follow the order of the files and of the cases in them."""
 
-    def register(run: Callable[[Bed], None]) -> Callable[[Bed], None]:
-        CASES.append(Case(len(CASES) + 1, section, says, spec or Spec(), run, slow))
+    def register(run: Callable[[Testbed], None]) -> Callable[[Testbed], None]:
+        CASES.append(Case(len(CASES) + 1, section, says, setup or TestbedSetup(), run, slow))
         return run
 
     return register
@@ -78,7 +88,7 @@
     """Run cases, those with the same bed one after the other on it, several beds at a time in processes."""
     groups: dict[object, list[int]] = {}
     for c in chosen:
-        groups.setdefault(c.number if c.spec.alone else c.spec, []).append(c.number)
+        groups.setdefault(c.number if c.setup.alone else c.setup, []).append(c.number)
     results = []
     with ProcessPoolExecutor(jobs) as pool:
         for future in as_completed([pool.submit(_group, numbers, memory, seed) for numbers in groups.values()]):
@@ -91,37 +101,37 @@
 def _group(numbers: list[int], memory: bool, seed: int) -> list[Result]:
     """Cases by number, which have one bed: cases themselves don't pass between processes."""
     cases = [c for c in load() if c.number in numbers]
-    return list(_on_one_bed(cases[0].spec, cases, memory, seed))
+    return list(_on_one_bed(cases[0].setup, cases, memory, seed))
 
 
-def _on_one_bed(spec: Spec, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
+def _on_one_bed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
     with TemporaryDirectory() as folder:
-        bed: Bed | None = None
+        testbed: Testbed | None = None
         for n, c in enumerate(cases):
             start = time.monotonic()
             verdict, why = PASSED, ""
             try:
-                if bed is None:
-                    bed = Bed(spec, Path(folder) / str(n), memory, seed)
-                bed.begin()
-                c.run(bed)
-                if faults := bed.counted("faults"):
-                    raise Failed(f"{faults} faults in the front")
-            except NotApplicable as e:
+                if testbed is None:
+                    testbed = Testbed(setup, Path(folder) / str(n), memory, seed)
+                testbed.begin_case()
+                c.run(testbed)
+                if faults := testbed.counted("faults"):
+                    raise RequirementNotMetError(f"{faults} faults in the front")
+            except NotApplicableError as e:
                 verdict, why = NOT_APPLICABLE, str(e)
-            except Failed as e:
+            except RequirementNotMetError as e:
                 verdict, why = FAILED, str(e)
             except Exception as e:
                 verdict, why = FAILED, f"{e!r} at {traceback.extract_tb(e.__traceback__)[-1]}"
             finally:
-                if bed is not None:
-                    bed.tidy()
-            if verdict is FAILED and bed is not None:
-                bed.close()  # what it left must not fail the next
-                bed = None
+                if testbed is not None:
+                    testbed.finish_case()
+            if verdict is FAILED and testbed is not None:
+                testbed.close()  # what it left must not fail the next
+                testbed = None
             yield Result(c.number, c.section, c.says, c.name, verdict, why, round(time.monotonic() - start, 2))
-        if bed is not None:
-            bed.close()
+        if testbed is not None:
+            testbed.close()
 
 
 def table(results: list[Result]) -> str:
--- a/aspensaddle/conformance/bed.py
+++ b/aspensaddle/conformance/testbed.py
@@ -3,14 +3,17 @@
 from __future__ import annotations
 
 import os
+import time
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from aspensaddle.conformance.front import Front, MemoryFront, ProcessFront
+from aspensaddle.conformance.frontend import Frontend
+from aspensaddle.conformance.memory_frontend import MemoryFrontend
 from aspensaddle.conformance.net import Address, MemoryNet, Net, SocketNet
-from aspensaddle.conformance.peers import RESET_KEY, Client, Raw, Runner
+from aspensaddle.conformance.peers import RESET_KEY, QuicClient, RawEndpoint, QuicServer
+from aspensaddle.conformance.process_frontend import ProcessFrontend
 from aspensaddle.frontends.quic.ids import IdFormat
 from aspensaddle.frontends.quic.tokens import TokenKey, Tokens
 
@@ -22,17 +25,19 @@
 WITHIN = 15.0
 
 
-class Failed(Exception):
+class RequirementNotMetError(Exception):
     """The front does not do what the case asks for."""
 
 
-class NotApplicable(Exception):
+class NotApplicableError(Exception):
     """The case can't be asked here; the text says why."""
 
 
 @dataclass(frozen=True)
-class Spec:
-    """How a bed is set up. Cases with the same one share it."""
+class TestbedSetup:
+    """How a testbed is set up. Cases with the same setup share a testbed. Times are seconds."""
+
+    __test__ = False  # no test class of pytest
 
     modes: tuple[str, ...] = ("ok", "ok", "ok")
     forms: tuple[IdFormat, ...] = (FORM,)  # the runners issue by the first
@@ -42,16 +47,16 @@
     deadline: float = 3.0
     reply: float = 1.0
     idle: float = 30.0
-    fronts: int = 1
+    frontends: int = 1
     alone: bool = False  # the case leaves the bed in another state than it found it
 
 
-def ids_toml(forms: Iterable[IdFormat], runners: Iterable[Runner], more: str = "") -> str:
+def ids_toml(forms: Iterable[IdFormat], servers: Iterable[QuicServer], more: str = "") -> str:
     """The `[[ids]]` of the operator's file for these configurations and runners."""
     out = []
     for form in forms:
         key = f'key = "{form.key.hex()}"\n' if form.key is not None else ""
-        names = "".join(f'"{r.uid}" = "{server_id(form, r).hex()}"\n' for r in runners)
+        names = "".join(f'"{r.uid}" = "{server_id(form, r).hex()}"\n' for r in servers)
         out.append(
             f"[[ids]]\nrotation = {form.rotation}\nserver_id_length = {form.server_id_length}\n"
             f"nonce_length = {form.nonce_length}\nself_length = {str(form.self_length).lower()}\n{key}{more}"
@@ -60,117 +65,121 @@
     return "".join(out)
 
 
-def server_id(form: IdFormat, runner: Runner) -> bytes:
+def server_id(form: IdFormat, server: QuicServer) -> bytes:
     """A runner's server id in a configuration: its number, with the rotation in front where there is room, so that
     the same number is another runner's elsewhere."""
-    number = int(runner.uid.rpartition("-")[2]) + 1
+    number = int(server.uid.rpartition("-")[2]) + 1
     return (number + 16 * (form.rotation % 3)).to_bytes(form.server_id_length, "big")
 
 
-class Bed:
-    def __init__(self, spec: Spec, folder: Path, memory: bool = False, seed: int = 0) -> None:
-        self.spec, self.seed, self.memory = spec, seed, memory
+class Testbed:
+    """Front ends, servers and the network between them, with what cases do to them."""
+
+    __test__ = False  # no test class of pytest
+
+    def __init__(self, setup: TestbedSetup, folder: Path, memory: bool = False, seed: int = 0) -> None:
+        """Start all ends; with `memory` without sockets, `seed` for the balancers there."""
+        self.setup, self.seed, self.memory = setup, seed, memory
         self.net: Net = MemoryNet() if memory else SocketNet()
         self.tokens = Tokens([TokenKey(5, TOKEN_SECRET)], LIFETIME)
         tickets: dict[bytes, Any] = {}
-        self.runners: list[Runner] = []
-        for i, mode in enumerate(spec.modes):
-            runner = Runner(
+        self.servers: list[QuicServer] = []
+        for i, mode in enumerate(setup.modes):
+            server = QuicServer(
                 self.net,
                 f"s-{i}",
-                spec.forms[0],
+                setup.forms[0],
                 b"",
                 mode,
                 tickets=tickets,
                 unix=self.unix,
-                tokens=self.tokens if spec.retry_above is not None else None,
+                tokens=self.tokens if setup.retry_above is not None else None,
             )
-            runner.server_id = server_id(spec.forms[0], runner)
-            self.runners.append(runner)
-        self.fronts: list[Front] = [self._front(folder / f"n{i}", f"n{i}") for i in range(spec.fronts)]
-        self._ends: list[Client | Raw] = []
+            server.server_id = server_id(setup.forms[0], server)
+            self.servers.append(server)
+        self.frontends: list[Frontend] = [self._front(folder / f"n{i}", f"n{i}") for i in range(setup.frontends)]
+        self._ends: list[QuicClient | RawEndpoint] = []
         self._before: dict[str, int] = {}
         self.id = b""  # for a client made by hand, another for each case
 
     def unix(self) -> float:
-        import time
-
+        """Return the Unix time."""
         return self.net.now() if self.memory else time.time()
 
     def toml(self, ids: str = "", more: str | None = None, rules: str | None = None) -> str:
         """The operator's file of this bed, with some of it otherwise."""
-        spec = self.spec
+        setup = self.setup
         retry = (
             ""
-            if spec.retry_above is None
-            else f'[retry]\nabove_per_s = {spec.retry_above}\nkeys = "keys.toml"\nlifetime_s = {LIFETIME}\n'
+            if setup.retry_above is None
+            else f'[retry]\nabove_per_s = {setup.retry_above}\nkeys = "keys.toml"\nlifetime_s = {LIFETIME}\n'
         )
         return (
             f'enabled = true\nlisten = "LISTEN"\nclass = "test-run"\nreset_key = "{RESET_KEY.hex()}"\n'
-            f"idle_s = {spec.idle}\nreply_within_s = {spec.reply}\n{spec.more if more is None else more}\n"
-            f"{ids or ids_toml(spec.forms, self.runners)}\n{spec.rules if rules is None else rules}\n{retry}"
+            f"idle_s = {setup.idle}\nreply_within_s = {setup.reply}\n{setup.more if more is None else more}\n"
+            f"{ids or ids_toml(setup.forms, self.servers)}\n{setup.rules if rules is None else rules}\n{retry}"
         )
 
-    def _front(self, folder: Path, name: str) -> Front:
-        targets, files = [r.target() for r in self.runners], {"keys.toml": TOKEN_FILE}
+    def _front(self, folder: Path, name: str) -> Frontend:
+        targets, files = [r.target() for r in self.servers], {"keys.toml": TOKEN_FILE}
         if isinstance(self.net, MemoryNet):
-            return MemoryFront(self.net, folder, self.toml(), targets, self.spec.deadline, self.seed + 1, files)
-        return ProcessFront(folder, self.toml(), targets, self.spec.deadline, name, files, self.net.until)
+            return MemoryFrontend(self.net, folder, self.toml(), targets, self.setup.deadline, self.seed + 1, files)
+        return ProcessFrontend(folder, self.toml(), targets, self.setup.deadline, name, files, self.net.until)
 
     @property
-    def front(self) -> Front:
-        return self.fronts[0]
+    def frontend(self) -> Frontend:
+        return self.frontends[0]
 
     @property
     def address(self) -> Address:
-        return self.front.address
+        return self.frontend.address
 
     def close(self) -> None:
-        for front in self.fronts:
-            front.close()
+        for frontend in self.frontends:
+            frontend.close()
         self.net.close()
 
     # ------------------------------------------------------------ what cases do
 
-    def begin(self) -> None:
+    def begin_case(self) -> None:
         """Before a case."""
         self.id = os.urandom(10)
-        self._before = self.front.counts()
+        self._before = self.frontend.counts()
 
-    def tidy(self) -> None:
+    def finish_case(self) -> None:
         """After a case: its clients are gone, the runners are as the bed has them."""
         for end in self._ends:
             end.close()
         self._ends.clear()
-        for runner, mode in zip(self.runners, self.spec.modes, strict=True):
-            runner.mode = mode
-            runner.seen.clear()
+        for server, mode in zip(self.servers, self.setup.modes, strict=True):
+            server.mode = mode
+            server.seen.clear()
 
-    def client(self, front: Address | None = None, **more: Any) -> Client:
-        client = Client(self.net, front or self.address, **more)
+    def client(self, frontend: Address | None = None, **more: Any) -> QuicClient:
+        client = QuicClient(self.net, frontend or self.address, **more)
         self._ends.append(client)
         return client
 
-    def raw(self) -> Raw:
-        raw = Raw(self.net)
+    def raw_endpoint(self) -> RawEndpoint:
+        raw = RawEndpoint(self.net)
         self._ends.append(raw)
         return raw
 
-    def ready(self, count: int = 1, **more: Any) -> list[Client]:
+    def connected_clients(self, count: int = 1, **more: Any) -> list[QuicClient]:
         """Clients whose handshakes are done."""
         clients = [self.client(**more) for _ in range(count)]
         self.wait(lambda: all(c.ready for c in clients), "the handshake is done")
         return clients
 
-    def ask(self, client: Client, text: bytes = b"hello") -> str:
+    def ask(self, client: QuicClient, text: bytes = b"hello") -> str:
         """The runner that answers."""
         n = len(client.answers)
         client.say(text)
         self.wait(lambda: [a for a in client.answers[n:] if a.endswith(b" " + text)], f"{text!r} is answered")
         return next(a for a in client.answers[n:] if a.endswith(b" " + text)).split(b" ", 1)[0].decode()
 
-    def runner(self, uid: str) -> Runner:
-        return next(r for r in self.runners if r.uid == uid)
+    def server(self, uid: str) -> QuicServer:
+        return next(r for r in self.servers if r.uid == uid)
 
     def wait(self, done: Callable[[], Any], what: str, within: float = WITHIN) -> None:
         self.check(self.net.until(done, within), f"in time: {what}")
@@ -180,31 +189,31 @@
 
     def check(self, value: Any, what: str) -> None:
         if not value:
-            raise Failed(f"not so: {what}")
+            raise RequirementNotMetError(f"not so: {what}")
 
-    def quiet(self, ends: Iterable[Raw | Client], what: str, seconds: float = 0.25) -> None:
+    def expect_silence(self, ends: Iterable[RawEndpoint | QuicClient], what: str, seconds: float = 0.25) -> None:
         """Nothing more comes to these."""
         ends = list(ends)
         before = [len(e.got) for e in ends]
         self.run(seconds)
         self.check([len(e.got) for e in ends] == before, f"nothing is answered: {what}")
 
-    def reached(self, raw: Raw) -> list[str]:
+    def reached(self, raw: RawEndpoint) -> list[str]:
         """The runners that what an address sent has come to, in its order."""
-        return [r.uid for data in raw.sent for r in self.runners if data in r.seen]
+        return [r.uid for data in raw.sent for r in self.servers if data in r.seen]
 
     def counted(self, name: str) -> int:
         """How often something has been counted since the case began."""
-        return self.front.counts().get(name, 0) - self._before.get(name, 0)
+        return self.frontend.counts().get(name, 0) - self._before.get(name, 0)
 
     def total(self, what: str) -> int:
         """Over all runners, since they began."""
-        return sum(getattr(r, what) for r in self.runners)
+        return sum(getattr(r, what) for r in self.servers)
 
     def replace(self, *targets: dict[str, Any]) -> None:
         """A change of the list: entries by uid, the others as they were. A uid alone takes one out."""
-        known = {r.uid: r.target() for r in self.runners}
+        known = {r.uid: r.target() for r in self.servers}
         for t in targets:
             known[t["uid"]] = t
-        for front in self.fronts:
-            front.lists([t for t in known.values() if "endpoint" in t])
+        for frontend in self.frontends:
+            frontend.replace_endpoints([t for t in known.values() if "endpoint" in t])
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from aspensaddle.conformance import front, suite
-from aspensaddle.conformance.bed import Bed, Spec
+from aspensaddle.conformance import process_frontend, suite
+from aspensaddle.conformance.testbed import Testbed, TestbedSetup
 from aspensaddle.frontends.quic.tokens import Verdict
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("kind", [socket.SOCK_DGRAM, socket.SOCK_STREAM])
 def test_the_program_starts_on_other_ports_when_one_was_taken(monkeypatch, tmp_path, kind):
-    choose, taken = front.free_port, [kind]
+    choose, taken = process_frontend.free_port, [kind]
 
     def free_port_once_taken(wanted):
         if wanted in taken:
@@ -94,25 +94,25 @@
             return occupied.getsockname()[1]
         return choose(wanted)
 
-    monkeypatch.setattr(front, "free_port", free_port_once_taken)
+    monkeypatch.setattr(process_frontend, "free_port", free_port_once_taken)
     with socket.socket(socket.AF_INET, kind) as occupied:
         occupied.bind(("127.0.0.1", 0))
         if kind == socket.SOCK_STREAM:
             occupied.listen()
-        testbed = Bed(Spec(), tmp_path)
+        testbed = Testbed(TestbedSetup(), tmp_path)
         try:
             assert not taken and occupied.getsockname() != testbed.address
-            testbed.begin()
-            testbed.ask(*testbed.ready())
+            testbed.begin_case()
+            testbed.ask(*testbed.connected_clients())
         finally:
             testbed.close()
 
 
 def test_a_start_with_taken_ports_ends_after_some_tries(monkeypatch, tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as occupied:
-        monkeypatch.setattr(front, "free_port", lambda kind: occupied.getsockname()[1])
-        with pytest.raises(front.PortTakenError, match="Address already in use"):
-            Bed(Spec(), tmp_path)
+        monkeypatch.setattr(process_frontend, "free_port", lambda kind: occupied.getsockname()[1])
+        with pytest.raises(process_frontend.PortTakenError, match="Address already in use"):
+            Testbed(TestbedSetup(), tmp_path)
 
 
 def test_a_case_that_fails_is_told_and_exits_with_1(monkeypatch, capsys):
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -9,7 +9,6 @@
 # Modules that are still over a limit. ROADMAP names when each is to be split.
 OVERSIZED_FILES = {
     "aspensaddle/conformance/cases/handshakes.py",
-    "aspensaddle/conformance/front.py",
     "aspensaddle/conformance/peers.py",
     "aspensaddle/core/balancer.py",
     "aspensaddle/frontends/line_protocol/clients.py",
