--- a/aspensaddle/frontends/line_protocol/connection_adopter.py
+++ b/aspensaddle/frontends/line_protocol/connection_adopter.py
@@ -84,11 +84,11 @@
     def _log(self, adoption: _Adoption) -> None:
         request = adoption.open_request.request
         self._frontend.log.event(
-            "adopted",
-            id=request.request_id,
-            key=request.affinity_key,
-            cls=request.class_index,
-            group=request.session_group,
-            at=adoption.server_name,
-            up=adoption.established is not None,
+            "connection_adopted",
+            request_id=request.request_id,
+            affinity_key=request.affinity_key,
+            class_index=request.class_index,
+            session_group=request.session_group,
+            server=adoption.server_name,
+            established=adoption.established is not None,
         )
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -67,12 +67,12 @@
         try:
             open_request = await self._read_open(link, slot)
         except (InvalidOpenError, LineTooLongError) as error:
-            self._frontend.counters.add("bad first lines")
-            self._frontend.log.seldom("bad first line", why=str(error))
+            self._frontend.counters.add("invalid_requests")
+            self._frontend.log.seldom("invalid_request", reason=str(error))
             return ConnectionEnd(ERROR)
         if open_request is None:
             return ConnectionEnd(self._frontend.unavailable_response() if slot.evicted else b"")
-        self._frontend.counters.add("requests")
+        self._frontend.counters.add("requests_received")
         link.response_started = False  # a PONG was none to this request
         if reason := self._reject_reason(open_request):
             self._frontend.counters.add(reason)
@@ -116,16 +116,16 @@
             pings += 1
             if pings > MAX_PINGS:
                 raise InvalidOpenError("too many commands")
-            self._frontend.counters.add("pings")
+            self._frontend.counters.add("pings_received")
             await link.send(PONG)
         return None
 
     def _reject_reason(self, open_request: OpenRequest) -> str | None:
         """Return the counter of the reason why this process cannot take the request, if any."""
         if not self._frontend.newcomers:
-            return "refused while closing"
+            return "rejected_after_shutdown_began"
         if open_request.adopted_server is None and self._frontend.admission.full:
-            return "refused: full"
+            return "rejected_connection_slots_exhausted"
         return None
 
     async def _finish(self, link: Link, slot: ConnectionSlot, end: ConnectionEnd) -> None:
--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -144,7 +144,7 @@
 
     def _evict(self, slot: ConnectionSlot) -> None:
         if not slot.evicted:
-            self._counters.add("turned out")
+            self._counters.add("connections_evicted")
             slot.evicted = True
             slot.first_line_scope.cancel()
 
@@ -164,7 +164,7 @@
         if slot := next(
             (s for s in self._stages[ConnectionStage.LINGERING] if not s.linger_scope.cancel_called), None
         ):
-            self._counters.add("lingering cut")
+            self._counters.add("lingering_closes_aborted")
             slot.linger_scope.cancel()
 
     def cut_all(self) -> None:
--- a/aspensaddle/frontends/line_protocol/listener.py
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -46,7 +46,7 @@
             try:
                 stream = listener.accept()
             except OSError as error:
-                counters.add(f"accept {errno.errorcode.get(error.errno or 0, 'failed')}")
+                counters.add(f"accepts_failed_{errno.errorcode.get(error.errno or 0, 'unknown').lower()}")
                 slots.free_descriptor()
                 return False
             if stream is None:
--- a/aspensaddle/frontends/line_protocol/open_connections.py
+++ b/aspensaddle/frontends/line_protocol/open_connections.py
@@ -31,7 +31,7 @@
         parser = LoadReportParser(frontend.config.settings, self._latency_schedule(server), started_at)
         relay = state.relay = Relay(client, established.link, request_id, frontend.driver, frontend.counters, parser)
         frontend.standing[request_id] = state
-        frontend.counters.add("answers UP")
+        frontend.counters.add("connections_established")
         migrated = True
         try:
             if state.migration_requested or frontend.moving:
@@ -49,16 +49,16 @@
 
     def _report_end(self, relay: Relay, outcome: Outcome, migrated: bool, duration: float) -> None:
         frontend = self._frontend
-        frontend.counters.add("moved" if migrated else f"ended {outcome.label}")
+        frontend.counters.add("connections_migrated" if migrated else f"connections_ended_{outcome.label}")
         frontend.log.event(
-            "ended",
-            id=relay.request_id,
-            outcome="moved" if migrated else outcome.label,
+            "connection_ended",
+            request_id=relay.request_id,
+            outcome="migrated" if migrated else outcome.label,
             load=relay.load_report_parser.load,
-            stood=round(duration, 3),
+            duration=round(duration, 3),
         )
         if migrated:
-            frontend.log.event("moved", id=relay.request_id, silent=relay.server_silent)
+            frontend.log.event("connection_migrated", request_id=relay.request_id, server_silent=relay.server_silent)
 
     def _latency_schedule(self, server: int) -> LatencySchedule:
         for departed in [s for s in self._latency_schedules if s not in self._frontend.endpoints.addresses]:
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -102,7 +102,7 @@
         while True:
             if lines := self.client.take_lines():
                 now = trio.current_time()
-                self.counters.add("lines from clients", count := lines.count(b"\n"))
+                self.counters.add("lines_received_from_clients", count := lines.count(b"\n"))
                 for _ in range(count):
                     self._awaited_echoes.append(now)
                 await self._to_server(lines)
@@ -161,12 +161,12 @@
                 self._report_load(line, now)
             elif self._awaited_echoes and word not in SERVER_WORDS:
                 self.driver.record_response_delay(self.request_id, now - self._awaited_echoes.popleft())
-        self.counters.add("lines from runners", lines.count(b"\n"))
+        self.counters.add("lines_received_from_servers", lines.count(b"\n"))
 
     def _report_load(self, line: bytes, now: float) -> None:
         reports = self.load_report_parser.parse(line, now)
         if not reports:
-            self.counters.add("bad LOAD lines")
+            self.counters.add("invalid_load_reports")
         for report in reports:
             if isinstance(report, ConnectionLoad):
                 self.driver.connection_load_reported(self.request_id, report.load)
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -132,26 +132,28 @@
         request = placement.request
         self._frontend.log.event(
             "request",
-            id=request.request_id,
-            key=request.affinity_key,
-            cls=request.class_index,
-            group=request.session_group,
-            again=request.reconnecting,
+            request_id=request.request_id,
+            affinity_key=request.affinity_key,
+            class_index=request.class_index,
+            session_group=request.session_group,
+            reconnecting=request.reconnecting,
             attempts=placement.state.attempts,
-            left=request.time_left,
-            at=None if placement.server is None else self._frontend.endpoints.uid(placement.server),
-            ms=round(1000 * (trio.current_time() - placement.started_at), 1),
-            answer="UP" if placement.established else placement.response.decode("latin-1").strip() or "gone",
-            why=_reject_reason(placement),
+            time_left=request.time_left,
+            server=None if placement.server is None else self._frontend.endpoints.uid(placement.server),
+            duration_ms=round(1000 * (trio.current_time() - placement.started_at), 1),
+            response="UP"
+            if placement.established
+            else placement.response.decode("latin-1").strip() or "client_disconnected",
+            reject_reason=_reject_reason(placement),
         )
 
     def _count_response(self, placement: _Placement) -> None:
         if reason := _reject_reason(placement):
-            self._frontend.counters.add(f"refused: {reason}")
+            self._frontend.counters.add(f"rejected_{reason}")
         if placement.response:
-            self._frontend.counters.add(f"answers {first_word(placement.response).decode('latin-1')}")
+            self._frontend.counters.add(f"responses_{first_word(placement.response).decode('latin-1').lower()}")
         else:
-            self._frontend.counters.add("clients gone")
+            self._frontend.counters.add("clients_disconnected")
 
 
 def _reject_reason(placement: _Placement) -> str | None:
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -108,7 +108,7 @@
 
         Unless it is established, the connection is closed on return, so two attempts never overlap.
         """
-        self.counters.add("attempts")
+        self.counters.add("attempts_started")
         deadline = trio.current_time() + timeout
         link: Link | None = None
         outcome, response = Outcome.NOT_SENT, b""  # until the first byte
@@ -125,12 +125,12 @@
                         outcome, response = await self._offer(link, first_line(deadline - trio.current_time()))
                     if outcome is Outcome.OK and first_word(response) == b"UP":
                         established, link = AttemptEstablished(link, response), None
-                        self.counters.add("attempts up")
+                        self.counters.add("attempts_established")
                         return established
         finally:
             if link is not None:
                 link.close()
-        self.counters.add(f"attempts {outcome.label}")
+        self.counters.add(f"attempts_{outcome.label}")
         return AttemptFailed(outcome, response)
 
     async def _connect(self, server: int) -> Link | Outcome:
@@ -143,7 +143,7 @@
                 return Link(await connect(address))
         except OSError as error:
             if error.errno in NO_DESCRIPTORS:
-                self.counters.add("out of descriptors")
+                self.counters.add("connects_failed_no_descriptors")
                 return Outcome.NOT_SENT  # not the server's failure
             return Outcome.UNREACHABLE
         return Outcome.UNREACHABLE
@@ -173,11 +173,11 @@
 
         The connection is kept for the next health check, since opening one costs the server ten times as much.
         """
-        self.counters.add("probes")
+        self.counters.add("health_checks_started")
         started_at = trio.current_time()
         link = self._idle_health_checks.pop(server, None)
         if not self._has_room_for_health_check(link):
-            self.counters.add("probes put off")
+            self.counters.add("health_checks_deferred")
             if link is not None:
                 link.close()
             self.driver.health_check_completed(server, Outcome.NOT_SENT, 0.0, None)
@@ -196,7 +196,7 @@
             self._health_checks_in_progress -= 1
             if link is not None:
                 self._keep_or_close(server, link, outcome)
-        self.counters.add(f"probes {outcome.label}" + ("" if report else " without a report"))
+        self.counters.add(f"health_checks_{outcome.label}" + ("" if report else "_without_report"))
         self.driver.health_check_completed(server, outcome, trio.current_time() - started_at, report)
 
     def _has_room_for_health_check(self, link: Link | None) -> bool:
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -70,9 +70,18 @@
             for key in [key for key in open_ if key[0] == balancer]:
                 lost = open_.pop(key)
                 lost.end, lost.reason = t, "lost"
-        if e["event"] == "adopted" and e["up"] or e["event"] == "request" and e["answer"] == "UP":
-            every.append(open_.setdefault((balancer, e["id"]), Stay(t, e["at"], e["group"], key=e.get("key"))))
-        elif e["event"] == "ended" and (stay := open_.pop((balancer, e["id"]), None)):
+        if (
+            e["event"] == "connection_adopted"
+            and e["established"]
+            or e["event"] == "request"
+            and e["response"] == "UP"
+        ):
+            every.append(
+                open_.setdefault(
+                    (balancer, e["request_id"]), Stay(t, e["server"], e["session_group"], key=e.get("affinity_key"))
+                )
+            )
+        elif e["event"] == "connection_ended" and (stay := open_.pop((balancer, e["request_id"]), None)):
             stay.end, stay.load, stay.reason = t, e.get("load") or 0.0, e["outcome"]
     return every
 
@@ -102,10 +111,10 @@
     for _, t, e in events(folder):
         row = seconds[int(t)]
         if e["event"] == "request":
-            row[e["answer"].split()[0] + ("" if e["attempts"] else " unsent")] += 1
+            row[e["response"].split()[0] + ("" if e["attempts"] else " unsent")] += 1
             row["attempts"] += e["attempts"]
         else:
-            row[f"ended {e['outcome']}" if e["event"] == "ended" else e["event"]] += 1
+            row[f"ended {e['outcome']}" if e["event"] == "connection_ended" else e["event"]] += 1
     for t in sorted(seconds):
         print(t, dict(sorted(seconds[t].items())))
 
@@ -194,7 +203,7 @@
     for _, t, e in events(folder):
         last = max(last, t)
         if e["event"] == "request":
-            answers[int(t) // 5 * 5][" ".join(filter(None, (e["answer"].split()[0], e.get("why"))))] += 1
+            answers[int(t) // 5 * 5][" ".join(filter(None, (e["response"].split()[0], e.get("reject_reason"))))] += 1
     for t in (t for t in AT if t <= last):
         on = [s for s in every if s.start <= t < s.end]
         there, runners_of = pairs(on), defaultdict[int, set[str]](set)
@@ -231,10 +240,10 @@
     mean = mean_load(every)
     noted: dict[int, list[tuple[float, str]]] = defaultdict(list)  # of each client: from when on it was what
     for _, t, e in events(folder):
-        if e["event"] == "request" and e["answer"] != "gone":
-            noted[e["key"]] += [
-                (t - e["ms"] / 1000, "first" if e["key"] not in noted else ""),
-                (t, "" if e["answer"] == "UP" else "refused"),
+        if e["event"] == "request" and e["response"] != "client_disconnected":
+            noted[e["affinity_key"]] += [
+                (t - e["duration_ms"] / 1000, "first" if e["affinity_key"] not in noted else ""),
+                (t, "" if e["response"] == "UP" else "refused"),
             ]
     for s in every:
         if s.key is not None:
@@ -273,9 +282,11 @@
 
 def one_client(folder: Path) -> None:
     key = int(sys.argv[3])
-    ids = {e["id"] for _, _, e in events(folder) if e.get("key") == key}
-    for t, name, e in sorted(((t, n, e) for n, t, e in events(folder) if e.get("id") in ids), key=lambda x: x[0]):
-        print(t, name, json.dumps({k: v for k, v in e.items() if k not in ("t", "name", "key")}))
+    ids = {e["request_id"] for _, _, e in events(folder) if e.get("affinity_key") == key}
+    for t, name, e in sorted(
+        ((t, n, e) for n, t, e in events(folder) if e.get("request_id") in ids), key=lambda x: x[0]
+    ):
+        print(t, name, json.dumps({k: v for k, v in e.items() if k not in ("t", "name", "affinity_key")}))
 
 
 def main() -> int:
--- a/tests/test_answer_delivery.py
+++ b/tests/test_answer_delivery.py
@@ -143,7 +143,7 @@
         assert await peer.rest() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
         peer.stream.socket.close()
         await f.gone()
-        assert [e["outcome"] for name, e in f.events if name == "ended"] == ["ok"]
+        assert [e["outcome"] for name, e in f.events if name == "connection_ended"] == ["ok"]
 
     Inside([runner]).run(script)
 
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -48,7 +48,7 @@
     for c in silent:
         c.close()
     counts = w.program.counts()
-    assert counts["turned out"] >= 200 and "faults" not in counts and "accept EMFILE" not in counts
+    assert counts["connections_evicted"] >= 200 and "faults" not in counts and "accepts_failed_emfile" not in counts
 
 
 def test_one_time_for_the_whole_stay_before_an_open(world):
@@ -86,7 +86,7 @@
         until(lambda: any(b" b " in line for line in w.runner.first_lines), "the attempt")
         c.send(more)
         assert c.line() == b"ERR\r\n"
-    assert "answers UP" not in w.program.counts()
+    assert "connections_established" not in w.program.counts()
 
 
 def test_an_early_line_is_kept_for_the_runner(world):
@@ -115,8 +115,8 @@
         with w.client() as c:
             c.send(b"frob\r\n")
             assert c.line() == b"ERR\r\n"
-    assert w.program.counts()["bad first lines"] == 50
-    assert len(w.program.events("bad first line")) < 25
+    assert w.program.counts()["invalid_requests"] == 50
+    assert len(w.program.events("invalid_request")) < 25
     silent = w.client()
     assert w.program.terminate() == 0
     silent.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -74,13 +74,13 @@
 async def half_line(p):
     await standing(p)
     p.runner.sendall(b"M 1\r\nM")
-    await p.f.until(lambda: p.f.counters["lines from runners"] == 2)
+    await p.f.until(lambda: p.f.counters["lines_received_from_servers"] == 2)
 
 
 async def line_out(p):
     await standing(p)
     await p.peer.send(b"M 1\r\n")
-    await p.f.until(lambda: p.f.counters["lines from clients"] == 1)
+    await p.f.until(lambda: p.f.counters["lines_received_from_clients"] == 1)
 
 
 async def answering(p):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -64,7 +64,7 @@
         thread.join(WAIT)
         assert ended == [0] and max(held) <= 128
         counts = w.program.events("counters")[-1]["counts"]
-        assert not {n for n in counts if n.startswith(("accept E", "out of", "faults"))}
+        assert not {n for n in counts if n.startswith(("accepts_failed_", "connects_failed_", "faults"))}
     finally:
         new.close()
 
@@ -86,7 +86,7 @@
         new.close()
     for c in resting:
         c.close()
-    assert "accept EMFILE" not in w.program.counts()
+    assert "accepts_failed_emfile" not in w.program.counts()
 
 
 def test_the_fixed_part_of_the_sum_is_what_an_idle_process_holds(world):
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -8,28 +8,38 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def up(id, at, group, answer="UP", **more):
+def up(id, at, group, response="UP", **more):
     return {
         "event": "request",
-        "id": id,
-        "key": ord(id),
-        "at": at,
-        "group": group,
+        "request_id": id,
+        "affinity_key": ord(id),
+        "server": at,
+        "session_group": group,
         "attempts": 1,
-        "answer": answer,
+        "response": response,
         **more,
     }
 
 
 def ended(id, outcome, load=None):
-    return {"event": "ended", "id": id, "outcome": outcome, "load": load}
+    return {"event": "connection_ended", "request_id": id, "outcome": outcome, "load": load}
 
 
 STARTED = {"event": "started", "runners": [["a", 2.0, "any"], ["b", 2.0, "any"]]}
 LOGS = {
     "n0": [
         (0.5, STARTED),
-        (0.6, {"event": "adopted", "id": "x", "key": 1, "at": "a", "group": 7, "up": True}),
+        (
+            0.6,
+            {
+                "event": "connection_adopted",
+                "request_id": "x",
+                "affinity_key": 1,
+                "server": "a",
+                "session_group": 7,
+                "established": True,
+            },
+        ),
         (
             2.0,
             {
@@ -40,16 +50,16 @@
         ),
         (3.0, up("y", "n", 7)),
         (11.0, up("z", "a", 8)),
-        (11.5, up("-", None, 7, "BUSY 300", why="storm")),
-        (11.6, up("-", None, 7, "BUSY 20", why="time up")),
-        (12.0, ended("z", "moved", 0.1)),
+        (11.5, up("-", None, 7, "BUSY 300", reject_reason="retry_storm")),
+        (11.6, up("-", None, 7, "BUSY 20", reject_reason="deadline_exceeded")),
+        (12.0, ended("z", "migrated", 0.1)),
         (13.0, ended("y", "ok", 0.3)),
-        (15.0, up("w", "n", 8, why=None)),
+        (15.0, up("w", "n", 8, reject_reason=None)),
         (16.2, STARTED),
-        (17.0, up("v", "a", 7, key=ord("z"))),
+        (17.0, up("v", "a", 7, affinity_key=ord("z"))),
         (20.0, {"event": "counters"}),
     ],
-    "n1": [(0.5, STARTED), (16.5, up("u", "a", 7)), (18.5, ended("u", "broken"))],
+    "n1": [(0.5, STARTED), (16.5, up("u", "a", 7)), (18.5, ended("u", "connection_lost"))],
 }
 
 
@@ -82,6 +92,7 @@
         "0.1 for connections; largest [(1, 1)]; level of old 0.35 of 1, of new 0.00 of 1"
     )  # its client asked for 0.1 before
     assert (
-        said[5] == "stays from 10 to 25 s: median 1.6 s; 1 broken 2.0 s, 1 lost 1.2 s, 1 moved 1.0 s, 1 stands 3.0 s"
+        said[5]
+        == "stays from 10 to 25 s: median 1.6 s; 1 connection_lost 2.0 s, 1 lost 1.2 s, 1 migrated 1.0 s, 1 stands 3.0 s"
     )
-    assert "answers from 10 s: {'UP': 1, 'BUSY storm': 1, 'BUSY time up': 1}" in said
+    assert "answers from 10 s: {'UP': 1, 'BUSY retry_storm': 1, 'BUSY deadline_exceeded': 1}" in said
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -40,7 +40,7 @@
 def test_runners_are_probed_and_those_that_others_have_filled_get_nothing(world):
     w = world(settings=PROBING)
     w.runners[0].report, w.runners[1].report = b"PONG inflight=90,x0=0.84\r\n", b"PONG inflight=9,x0=0.10\r\n"
-    until(lambda: w.program.counts().get("probes ok", 0) >= 4, "reports")
+    until(lambda: w.program.counts().get("health_checks_ok", 0) >= 4, "reports")
     assert w.runners[0].probes >= 2 and len(w.runners[0].connections) <= 2  # kept from one to the next
     for n in range(3):  # each goes when it is up
         with w.client() as c:
@@ -63,7 +63,7 @@
     w = world(settings=PROBING)
     for r in w.runners:
         r.report = report
-    until(lambda: w.program.counts().get("probes", 0) >= 4, "probes")
+    until(lambda: w.program.counts().get("health_checks_started", 0) >= 4, "probes")
     with w.client() as c:
         assert c.open("c=test-run,t=,d=2500,g=5").startswith(b"UP s-")
     assert "faults" not in w.program.counts()
@@ -83,8 +83,8 @@
     wait, comma, rest = tail.partition(b",")
     assert head.endswith(b" 7f3a9c21e0b4d655 c=draft-save,") and rest == b"g=5c0f6e1a2b3d4c59,x=1\r\n"
     assert 0 < int(wait) < 2500  # how long the balancer waits, which is less than the client does
-    counts = until(lambda: (c := w.program.counts()).get("ended ok") and c, "the end")
-    assert counts["answers UP"] == counts["attempts up"] == counts["ended ok"] == 1
+    counts = until(lambda: (c := w.program.counts()).get("connections_ended_ok") and c, "the end")
+    assert counts["connections_established"] == counts["attempts_established"] == counts["connections_ended_ok"] == 1
 
 
 @pytest.mark.parametrize(
@@ -105,8 +105,8 @@
         with w.client() as c:
             assert c.open() == b"UP s-1\r\n"
     counts = w.program.counts()
-    assert counts[f"attempts {outcome}"] == len(w.runners[0].first_lines) >= 1
-    assert counts["attempts"] == counts["attempts up"] + counts[f"attempts {outcome}"]
+    assert counts[f"attempts_{outcome}"] == len(w.runners[0].first_lines) >= 1
+    assert counts["attempts_started"] == counts["attempts_established"] + counts[f"attempts_{outcome}"]
 
 
 def test_a_runner_that_is_down_is_not_the_end(world):
@@ -115,7 +115,7 @@
     for _ in range(4):
         with w.client() as c:
             assert c.open() == b"UP s-1\r\n"
-    assert w.program.counts()["attempts unreachable"] >= 1
+    assert w.program.counts()["attempts_unreachable"] >= 1
 
 
 def test_a_connection_that_never_comes_up_is_given_up_by_the_connect_time_out(world):
@@ -132,7 +132,7 @@
         for _ in range(4):
             with w.client() as c:
                 assert c.open() == b"UP s-1\r\n"
-        assert w.program.counts()["attempts unreachable"] >= 1
+        assert w.program.counts()["attempts_unreachable"] >= 1
         for s in held:
             s.close()
 
@@ -145,8 +145,8 @@
         assert answer.startswith(b"BUSY ") and 0 < int(answer[5:]) <= 1000
         assert c.line() == b""
     assert len(w.runners[0].first_lines) <= 6
-    assert w.program.counts()["refused: attempts_exhausted"] == 1
-    assert w.program.events("request")[0]["why"] == "attempts_exhausted"
+    assert w.program.counts()["rejected_attempts_exhausted"] == 1
+    assert w.program.events("request")[0]["reject_reason"] == "attempts_exhausted"
 
 
 def test_a_silent_runner_is_given_up_before_the_client_gives_up(world):
@@ -155,7 +155,7 @@
         start = time.monotonic()
         assert c.open("c=test-run,d=600").startswith(b"BUSY ")
         assert time.monotonic() - start > 0.3  # it was waited for
-    assert w.program.counts()["attempts timed_out"] == 1
+    assert w.program.counts()["attempts_timed_out"] == 1
 
 
 @pytest.mark.parametrize(
@@ -236,7 +236,7 @@
     for _ in range(3):
         with w.client() as c:
             assert c.open("c=test-run,d=1000,at=s-1") == b"UP s-1\r\n"
-    assert w.program.counts()["answers UP"] == 3
+    assert w.program.counts()["connections_established"] == 3
 
 
 def test_before_it_ends_it_moves_all_and_answers_who_still_comes(world):
@@ -256,7 +256,7 @@
     thread.join(WAIT)
     assert ended == [0]
     (counters,) = w.program.events("counters")  # printed at exit
-    assert counters["counts"]["moved"] == 5
+    assert counters["counts"]["connections_migrated"] == 5
 
 
 @pytest.mark.parametrize("limit", [{"limits": {"sockets": 80}}, {"files": 80}])
@@ -274,7 +274,7 @@
 
     until(room, "room again")
     counts = w.program.counts()
-    assert "faults" not in counts and "out of descriptors" not in counts
+    assert "faults" not in counts and "connects_failed_no_descriptors" not in counts
 
 
 def test_more_connections_than_descriptors_wait_their_turn(world):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -144,7 +144,7 @@
     assert w.program.terminate() == 0
     for name, (_, answer) in LAST.items():
         assert re.fullmatch(answer + rb"( \d+)?\r\n", out[name].rest()), name
-    whys = [e["why"] for e in w.program.events("request")]
+    whys = [e["reject_reason"] for e in w.program.events("request")]
     assert whys.count("shutting_down") == sum(answer == b"BUSY" for _, answer in LAST.values()) > 0
 
 
@@ -231,5 +231,5 @@
         await f.gone()
 
     front.run(script)
-    assert [more["why"] for name, more in front.events if name == "request"] == ["shutting_down"]
-    assert front.counters["refused: shutting_down"] == 1
+    assert [more["reject_reason"] for name, more in front.events if name == "request"] == ["shutting_down"]
+    assert front.counters["rejected_shutting_down"] == 1
