--- /dev/null
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -0,0 +1,141 @@
+"""Health checks of servers: the platform's STATS command and the report in its response."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Awaitable, Callable
+
+import trio
+
+from aspensaddle.core.driver import Driver
+from aspensaddle.core.events import Outcome
+from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
+from aspensaddle.frontends.line_protocol.link import Link, first_word
+from aspensaddle.support.counters import Counters
+
+HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
+MAX_HEALTH_CHECK_CONNECTIONS = 64  # kept or in use
+DESCRIPTORS_PER_HEALTH_CHECK = 16  # one of so many may be a health check's
+MAX_REPORT_FIELDS = 32
+STATS = b"STATS\r\n"
+
+_FIGURE = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
+
+
+def parse_report(line: bytes, fields: tuple[str, ...]) -> dict[str, float] | None:
+    """Parse the report behind the first word of a response, `NAME=FIGURE,..`.
+
+    Only `fields` count. Returns None for a line with anything else in it, a field twice or a figure that is none.
+    """
+    report: dict[str, float] = {}
+    for item in line.decode("latin-1").split()[1:2]:
+        for pair in item.split(",", MAX_REPORT_FIELDS):
+            name, _, value = pair.partition("=")
+            if not _FIGURE.fullmatch(value) or name in report:
+                return None
+            if name in fields:
+                report[name] = float(value)
+    return report or None
+
+
+class HealthChecker:
+    """Makes health checks and keeps their connections.
+
+    Attributes:
+        sockets: Descriptors that the process may hold.
+    """
+
+    def __init__(
+        self,
+        driver: Driver,
+        endpoints: Fleet,
+        counters: Counters,
+        connect: Callable[[int], Awaitable[Link | Outcome]],
+        sockets: int,
+    ) -> None:
+        """Start without connections; `connect` opens one to a server or returns why it failed."""
+        self._driver, self._endpoints, self._counters = driver, endpoints, counters
+        self.sockets = sockets
+        self._connect = connect
+        self._idle: dict[int, Link] = {}  # connections kept for the next health check, by server
+        self._in_progress = 0
+
+    @property
+    def max_connections(self) -> int:
+        """Descriptors that health checks may hold."""
+        if not self._driver.settings.limits.health_checks_allowed:
+            return 0
+        return min(MAX_HEALTH_CHECK_CONNECTIONS, self.sockets // DESCRIPTORS_PER_HEALTH_CHECK)
+
+    async def check(self, server: int) -> None:
+        """Ask a server for its load and report it to the driver; a late report counts as none.
+
+        The connection is kept for the next health check, since opening one costs the server ten times as much. With
+        as many as allowed kept or in use, the check is deferred.
+        """
+        self._counters.add("health_checks_started")
+        started_at = trio.current_time()
+        link = self._idle.pop(server, None)
+        if not self._has_room(link):
+            self._counters.add("health_checks_deferred")
+            if link is not None:
+                link.close()
+            self._driver.health_check_completed(server, Outcome.NOT_SENT, 0.0, None)
+            return
+        outcome, report = Outcome.TIMED_OUT, None
+        self._in_progress += 1
+        try:
+            with trio.move_on_after(HEALTH_CHECK_TIMEOUT_SECONDS):
+                connected = link or await self._connect(server)
+                if isinstance(connected, Outcome):
+                    outcome = connected
+                else:
+                    link = connected
+                    outcome, report = await self._request_report(link)
+        finally:
+            self._in_progress -= 1
+            if link is not None:
+                self._keep_or_close(server, link, outcome)
+        self._counters.add(f"health_checks_{outcome.label}" + ("" if report else "_without_report"))
+        self._driver.health_check_completed(server, outcome, trio.current_time() - started_at, report)
+
+    def _has_room(self, link: Link | None) -> bool:
+        """Return whether one more may begin; close the oldest kept connection if that is needed for a new one."""
+        if link is None and self._idle and self._connections >= self.max_connections:
+            self._idle.pop(next(iter(self._idle))).close()
+        return self._connections < max(1, self.max_connections)
+
+    @property
+    def _connections(self) -> int:
+        return len(self._idle) + self._in_progress
+
+    async def _request_report(self, link: Link) -> tuple[Outcome, dict[str, float] | None]:
+        try:
+            await link.send(STATS)
+            line = await link.read_line()
+        except (ConnectionBrokenError, LineTooLongError):
+            return Outcome.CONNECTION_LOST, None
+        if line is None:
+            return Outcome.CONNECTION_LOST, None
+        if first_word(line) != b"PONG":
+            return Outcome.ERROR, None
+        return Outcome.OK, parse_report(line, self._driver.settings.load_report_fields)
+
+    def _keep_or_close(self, server: int, link: Link, outcome: Outcome) -> None:
+        """Keep a connection whose response is complete, as far as descriptors allow.
+
+        On any other, a late response could be read as that of the next health check.
+        """
+        for departed in [s for s in self._idle if s not in self._endpoints.addresses]:
+            self._idle.pop(departed).close()
+        if (
+            outcome is Outcome.OK
+            and not link.buffered
+            and server in self._endpoints.addresses
+            and server not in self._idle
+            and self._connections < self.max_connections
+        ):
+            self._idle[server] = link
+        else:
+            link.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,8 @@
 from standins import SETTINGS, WAIT, Discovery, until
 
 from aspensaddle.frontends.line_protocol.connection_slots import ACCEPT_BATCH, RESERVED_DESCRIPTORS
-from aspensaddle.frontends.line_protocol.server_connector import MAX_HEALTH_CHECK_CONNECTIONS, ServerConnector
+from aspensaddle.frontends.line_protocol.health_checker import MAX_HEALTH_CHECK_CONNECTIONS
+from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 
 PROBING = {
     **SETTINGS,
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -17,7 +17,7 @@
 from aspensaddle.core.balancer import FULL, LEAVE, OVER
 from aspensaddle.core.events import HealthCheckCompleted, Outcome, ServerState
 from aspensaddle.core.settings import Limits, Settings
-from aspensaddle.frontends.line_protocol.server_connector import parse_report
+from aspensaddle.frontends.line_protocol.health_checker import parse_report
 
 PROBING = replace(
     SETTINGS,
