--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -18,7 +18,7 @@
     Outcome,
 )
 from aspensaddle.core.migration import MAX_UTILIZATION as MIGRATION_UTILIZATION
-from aspensaddle.frontends.line_protocol.server_connector import parse_report
+from aspensaddle.frontends.line_protocol.health_checker import parse_report
 
 
 def test_server_loaded_by_other_balancers_gets_no_new_connections():
