--- a/tests/load_report_harness.py
+++ b/tests/load_report_harness.py
@@ -6,10 +6,7 @@
 
 from helpers import SETTINGS, BalancerHarness
 
-from aspensaddle.core.events import (
-    HealthCheckCompleted,
-    Outcome,
-)
+from aspensaddle.core.events import HealthCheckCompleted, Outcome
 
 HEALTH_CHECK_SETTINGS = replace(
     SETTINGS,
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -9,18 +9,8 @@
 
 from helpers import SETTINGS, BalancerHarness, entry
 
-from aspensaddle.core.actions import (
-    Action,
-    Fail,
-    Reject,
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    ConnectionLoadReported,
-    Endpoint,
-    Outcome,
-    ServerLatencyReported,
-)
+from aspensaddle.core.actions import Action, Fail, Reject, StartAttempt
+from aspensaddle.core.events import ConnectionLoadReported, Endpoint, Outcome, ServerLatencyReported
 from aspensaddle.core.settings import Limits, ServiceRules, Settings
 from aspensaddle.discovery.endpoint_registry import Fleet as EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_update
--- a/tests/test_admission_of_requests.py
+++ b/tests/test_admission_of_requests.py
@@ -2,27 +2,25 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import replace
+from typing import Any
 
 import pytest
 from helpers import SETTINGS, BalancerHarness
 from load_report_harness import harness_with_reports, report_load
-from lock_step import (
-    HUNDREDS_OF_BALANCERS,
-    LARGE_SERVER_COUNT,
-    LOAD,
-    lose_connections,
-)
+from lock_step import HUNDREDS_OF_BALANCERS, LARGE_SERVER_COUNT, LOAD, lose_connections
 
-from aspensaddle.core.actions import (
-    Reject,
-    RejectReason,
-    StartAttempt,
-)
-from aspensaddle.core.admission import MAX_UTILIZATION, MAX_UTILIZATION_OVER_QUOTA
-from aspensaddle.core.events import (
-    ServerLatencyReported,
+from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
+from aspensaddle.core.admission import (
+    MAX_UTILIZATION,
+    MAX_UTILIZATION_OVER_QUOTA,
+    SHORTAGE_REJECT_FRACTION,
+    Admission,
 )
+from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.events import Request, ServerLatencyReported
+from aspensaddle.core.request_state import RequestState
 
 
 def test_rejections_grow_with_the_fraction_of_slow_servers():
@@ -77,3 +75,57 @@
     harness.tick()
     assert [type(harness.ask(load_hint=0.001, tenant=0)[0]) for _ in range(30)].count(StartAttempt) < 6
     assert all(isinstance(harness.ask(load_hint=0.001, tenant=t)[0], StartAttempt) for t in (1, 2, -1, 10**6))
+
+
+DRAWS = 2000
+
+
+def new_request(tenant: int = -1, reconnecting: bool = False) -> RequestState:
+    return RequestState(Request("r1", 0, 3.0, tenant=tenant, reconnecting=reconnecting), deadline=3.0)
+
+
+def reject_reasons(state: BalancerState, **request: Any) -> Counter[RejectReason | None]:
+    admission = Admission(state)
+    return Counter(admission.reject_reason(new_request(**request)) for _ in range(DRAWS))
+
+
+@pytest.mark.parametrize(("slow_fraction", "rejected"), [(0.0, 0.0), (1 / 6, 0.0), (1 / 4, 0.5), (1 / 3, 1.0)])
+def test_overload_rejections_grow_from_a_sixth_to_a_third_of_slow_servers(slow_fraction, rejected):
+    state = BalancerState(SETTINGS, seed=1)
+    state.fleet_pool.slow_fraction = slow_fraction
+    reasons = reject_reasons(state)
+    assert reasons[RejectReason.OVERLOAD] == pytest.approx(rejected * DRAWS, abs=0.05 * DRAWS)
+    assert set(reasons) <= {None, RejectReason.OVERLOAD}
+
+
+def test_tenant_over_its_quota_is_shed_at_half_the_slow_fraction():
+    state = BalancerState(replace(SETTINGS, tenant_connection_quotas=(0.0, 10.0)), seed=1)
+    state.fleet_pool.slow_fraction = 1 / 6
+    assert reject_reasons(state, tenant=0) == {RejectReason.OVER_QUOTA: DRAWS}
+    assert reject_reasons(state, tenant=1) == {None: DRAWS}
+
+
+def test_utilization_limit_is_lower_for_a_tenant_over_its_quota():
+    admission = Admission(BalancerState(replace(SETTINGS, tenant_connection_quotas=(0.0,)), seed=1))
+    limits = []
+    for tenant in (0, -1):
+        request = new_request(tenant=tenant)
+        assert admission.reject_reason(request) is None
+        limits.append(request.utilization_limit)
+    assert limits == [MAX_UTILIZATION_OVER_QUOTA, MAX_UTILIZATION]
+
+
+def test_only_reconnecting_clients_are_rejected_during_a_capacity_shortage():
+    state = BalancerState(SETTINGS, seed=1)
+    state.shortage.missing = 1.0
+    storms = reject_reasons(state, reconnecting=True)[RejectReason.RETRY_STORM]
+    assert storms == pytest.approx(SHORTAGE_REJECT_FRACTION * DRAWS, abs=0.05 * DRAWS)
+    assert reject_reasons(state) == {None: DRAWS}
+
+
+@pytest.mark.parametrize(("balancer_count", "rejected"), [(2, 0.0), (10, 0.75 * 0.9)])
+def test_lost_connections_reject_reconnecting_clients_where_balancers_are_many(balancer_count, rejected):
+    state = BalancerState(replace(SETTINGS, balancer_count=balancer_count), seed=1)
+    state.lost_connections = 9.0
+    storms = reject_reasons(state, reconnecting=True)[RejectReason.RETRY_STORM]
+    assert storms == pytest.approx(rejected * DRAWS, abs=0.05 * DRAWS)
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -17,16 +17,9 @@
     place_with_reported_load,
 )
 
-from aspensaddle.core.actions import (
-    Reject,
-    RejectReason,
-    StartAttempt,
-)
+from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
 from aspensaddle.core.affinity import SessionGroups, rendezvous_order
-from aspensaddle.core.events import (
-    Endpoint,
-    ServerState,
-)
+from aspensaddle.core.events import Endpoint, ServerState
 from aspensaddle.core.server_state import Server
 
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -12,22 +12,9 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 from load_report_harness import report_load
-from lock_step import (
-    BALANCER_COUNTS,
-    HUNDREDS_OF_BALANCERS,
-    NOW,
-    RULES,
-    DiscoveryHarness,
-    listed_target,
-)
+from lock_step import BALANCER_COUNTS, HUNDREDS_OF_BALANCERS, NOW, RULES, DiscoveryHarness, listed_target
 
-from aspensaddle.core.actions import (
-    CheckHealth,
-    Fail,
-    Reject,
-    RejectReason,
-    StartAttempt,
-)
+from aspensaddle.core.actions import CheckHealth, Fail, Reject, RejectReason, StartAttempt
 from aspensaddle.core.events import (
     AttemptEnded,
     ClientDisconnected,
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -8,12 +8,8 @@
 from helpers import SETTINGS, BalancerHarness, entry
 from load_report_harness import HEALTH_CHECK_SETTINGS, harness_with_reports
 
-from aspensaddle.core.actions import (
-    CheckHealth,
-)
-from aspensaddle.core.events import (
-    ServerState,
-)
+from aspensaddle.core.actions import CheckHealth
+from aspensaddle.core.events import ServerState
 
 
 @pytest.mark.parametrize(("price", "a_second"), [(0.0029, 4.0), (0.029, 10 * 0.005 / 0.029)])
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -18,14 +18,8 @@
     report_latency,
 )
 
-from aspensaddle.core.actions import (
-    Reject,
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    Outcome,
-    ServerLatencyReported,
-)
+from aspensaddle.core.actions import Reject, StartAttempt
+from aspensaddle.core.events import Outcome, ServerLatencyReported
 from aspensaddle.core.latency_outliers import SLOW_SECONDS
 from aspensaddle.core.passive_measurement import rejection_rank
 
--- a/tests/test_load_accounting.py
+++ b/tests/test_load_accounting.py
@@ -6,9 +6,7 @@
 
 from helpers import SETTINGS, BalancerHarness
 
-from aspensaddle.core.actions import (
-    StartAttempt,
-)
+from aspensaddle.core.actions import StartAttempt
 from aspensaddle.core.events import (
     AttemptEnded,
     ClientDisconnected,
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -7,16 +7,9 @@
 import pytest
 from load_report_harness import harness_with_reports, report_load
 
-from aspensaddle.core.actions import (
-    Migrate,
-    Reject,
-    StartAttempt,
-)
+from aspensaddle.core.actions import Migrate, Reject, StartAttempt
 from aspensaddle.core.admission import MAX_UTILIZATION
-from aspensaddle.core.events import (
-    HealthCheckCompleted,
-    Outcome,
-)
+from aspensaddle.core.events import HealthCheckCompleted, Outcome
 from aspensaddle.core.migration import MAX_UTILIZATION as MIGRATION_UTILIZATION
 from aspensaddle.frontends.line_protocol.servers import parse_report
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -6,12 +6,10 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, entry
-from lock_step import (
-    LOAD,
-    MANY_BALANCERS,
-    MANY_BALANCERS_SETTINGS,
-    SERVER_COUNT,
-)
+from lock_step import LOAD, MANY_BALANCERS, MANY_BALANCERS_SETTINGS, SERVER_COUNT
+
+from aspensaddle.core.balancer_state import BalancerState
+from aspensaddle.core.locality import MAX_LOCAL_EXCESS, MAX_LOCAL_LOAD_PER_CORE, prefers_local_zone
 
 TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
 
@@ -56,3 +54,46 @@
     harness = BalancerHarness(servers, replace(MANY_BALANCERS_SETTINGS, balancer_count=count, zone_count=2, zone=0))
     zones = [harness.balancer.servers[harness.place(load_hint=LOAD).server].zone for _ in range(16)]
     assert (set(zones) == {0}) is local
+
+
+def state_with_pools(local_load: float, fleet_load: float, balancer_count: int = 1) -> BalancerState:
+    """Ten ready servers of equal share with known loads, one of them in the local zone of two."""
+    state = BalancerState(replace(SETTINGS, zone_count=2, balancer_count=balancer_count), seed=1)
+    state.ready_count = 10
+    state.load_samples = 100
+    for pool, count, load in ((state.local_pool, 1, local_load), (state.fleet_pool, 10, fleet_load)):
+        pool.available_count, pool.share, pool.load = count, count / 10, load
+    return state
+
+
+def test_local_zone_is_not_preferred_without_an_available_server_there():
+    state = state_with_pools(local_load=0.0, fleet_load=1.0)
+    assert prefers_local_zone(state)
+    state.local_pool.available_count = 0
+    assert not prefers_local_zone(state)
+
+
+@pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
+def test_local_zone_is_preferred_up_to_an_excess_over_the_load_of_the_fleet(factor, preferred):
+    fleet_load = 0.1  # per share; the local zone has a tenth of the shares
+    local_load = factor * MAX_LOCAL_EXCESS * 2 * fleet_load / 10
+    assert prefers_local_zone(state_with_pools(local_load, fleet_load)) is preferred
+
+
+@pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
+def test_local_zone_is_preferred_up_to_a_load_per_listed_core(factor, preferred):
+    local_load = factor * MAX_LOCAL_LOAD_PER_CORE  # of one core
+    assert prefers_local_zone(state_with_pools(local_load, fleet_load=10.0)) is preferred
+
+
+def test_load_of_other_balancers_counts_where_there_are_many():
+    local_load = MAX_LOCAL_LOAD_PER_CORE / 2
+    assert prefers_local_zone(state_with_pools(local_load, fleet_load=10.0, balancer_count=4))
+    assert not prefers_local_zone(state_with_pools(local_load, fleet_load=10.0, balancer_count=6))
+
+
+def test_load_per_core_does_not_count_while_no_load_is_known():
+    state = state_with_pools(local_load=2 * MAX_LOCAL_LOAD_PER_CORE, fleet_load=10.0)
+    assert not prefers_local_zone(state)
+    state.load_samples = 0
+    assert prefers_local_zone(state)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,30 +6,10 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, entry
-from lock_step import (
-    BALANCER_COUNTS,
-    LOAD,
-    MANY_BALANCERS,
-    NOW,
-    SERVER_COUNT,
-    DiscoveryHarness,
-    listed_target,
-)
-
-from aspensaddle.core.actions import (
-    Reject,
-    SetTimer,
-    StartAttempt,
-    WatchEndpoints,
-)
-from aspensaddle.core.events import (
-    EndpointsChanged,
-    EndpointUpdateScope,
-    Outcome,
-    ServerState,
-    Started,
-    TimerFired,
-)
+from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, listed_target
+
+from aspensaddle.core.actions import Reject, SetTimer, StartAttempt, WatchEndpoints
+from aspensaddle.core.events import EndpointsChanged, EndpointUpdateScope, Outcome, ServerState, Started, TimerFired
 from aspensaddle.support.json_fields import DecodeError
 
 POLLING = replace(SETTINGS, polls_discovery=True)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -20,18 +20,8 @@
     place_with_reported_load,
 )
 
-from aspensaddle.core.actions import (
-    Migrate,
-    Reject,
-    RejectReason,
-)
-from aspensaddle.core.events import (
-    AttemptEnded,
-    ConnectionLoadReported,
-    Outcome,
-    ServerLatencyReported,
-    ServerState,
-)
+from aspensaddle.core.actions import Migrate, Reject, RejectReason
+from aspensaddle.core.events import AttemptEnded, ConnectionLoadReported, Outcome, ServerLatencyReported, ServerState
 from aspensaddle.core.migration import REBALANCE_FRACTION
 
 
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -6,15 +6,11 @@
 
 import pytest
 from helpers import BalancerHarness, entry
-from lock_step import (
-    SESSION_GROUP_SETTINGS,
-    large_fleet,
-)
+from lock_step import SESSION_GROUP_SETTINGS, large_fleet
 
-from aspensaddle.core.events import (
-    Outcome,
-    ServerState,
-)
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.core.events import ClientDisconnected, Outcome, ServerState
+from aspensaddle.core.outlier_ejection import AVOIDANCE_SECONDS
 
 
 def test_unreachable_server_is_ejected_and_gets_one_half_open_attempt():
@@ -101,3 +97,42 @@
     assert not shunned or first.server in [
         harness.place(affinity_key=n, session_group=3).server for n in range(100, 160)
     ]
+
+
+def servers_chosen_for_group(harness: BalancerHarness, group: int, keys: range) -> set[int]:
+    """The servers of one request for each affinity key. Each request ends at once and leaves no load."""
+    chosen = set()
+    for key in keys:
+        (attempt,) = harness.ask(affinity_key=key, session_group=group)
+        assert isinstance(attempt, StartAttempt)
+        chosen.add(attempt.server)
+        harness.balancer.handle(harness.now, ClientDisconnected(attempt.request_id))
+    return chosen
+
+
+def harness_with_lost_connection(draining_servers: int) -> tuple[BalancerHarness, int]:
+    """A harness whose first connection of group 3 was lost just now, and the server that lost it."""
+    draining = [entry(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
+    harness = BalancerHarness([*large_fleet(60), *draining], SESSION_GROUP_SETTINGS)
+    connection = harness.place(affinity_key=7, session_group=3)
+    harness.tick(3.0)  # it held, so that its loss is no failed attempt
+    harness.end(connection, Outcome.CONNECTION_LOST, finished=True)
+    return harness, connection.server
+
+
+def test_server_that_lost_a_connection_during_a_shortage_is_avoided_for_exactly_15_seconds():
+    harness, server = harness_with_lost_connection(draining_servers=10)
+    lost_at = harness.now
+    assert harness.balancer.state.shortage.missing > 0
+    assert AVOIDANCE_SECONDS == 15.0
+    for elapsed, avoided in ((0.0, True), (14.999, True), (15.0, False)):
+        harness.now = lost_at + elapsed
+        chosen = servers_chosen_for_group(harness, group=3, keys=range(100, 200))
+        assert (server not in chosen) is avoided, elapsed
+
+
+def test_server_that_lost_a_connection_without_a_shortage_is_not_avoided():
+    harness, server = harness_with_lost_connection(draining_servers=0)
+    assert harness.balancer.state.shortage.missing == 0
+    # Connections that stay, because without a shortage the group's least loaded server is chosen.
+    assert server in {harness.place(affinity_key=key, session_group=3).server for key in range(100, 140)}
--- a/tests/test_passive_measurement.py
+++ b/tests/test_passive_measurement.py
@@ -6,10 +6,7 @@
 from helpers import BalancerHarness, entry
 
 from aspensaddle.core.attempt_window import WINDOW_SLOTS
-from aspensaddle.core.events import (
-    Outcome,
-    ServerState,
-)
+from aspensaddle.core.events import Outcome, ServerState
 from aspensaddle.core.passive_measurement import CUT_FRACTION
 
 
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -7,15 +7,12 @@
 import pytest
 from helpers import CLASS, SETTINGS, BalancerHarness, entry
 
-from aspensaddle.core.actions import (
-    Fail,
-    Reject,
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    Outcome,
-)
-from aspensaddle.core.settings import DeduplicationScope, Idempotency, Limits
+from aspensaddle.core.actions import Fail, Reject, RejectReason, StartAttempt
+from aspensaddle.core.events import Outcome, Request
+from aspensaddle.core.request_state import RequestState
+from aspensaddle.core.retry_policy import attempts_exhausted, give_up_reason, may_retry_on
+from aspensaddle.core.server_state import Server
+from aspensaddle.core.settings import DeduplicationScope, Idempotency, Limits, RequestClass
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
@@ -127,3 +124,70 @@
         harness = BalancerHarness(1, settings=replace(SETTINGS, classes=classes, limits=Limits(max_attempts=1)))
         _, answer = two_attempts(harness, KEYED, Outcome.ERROR)
         assert isinstance(answer, final)
+
+
+FIRST_SERVER = Server(entry(1, zone=0, cell=0), 0.0)
+SAME_CELL = Server(entry(2, zone=0, cell=0), 0.0)
+SAME_ZONE = Server(entry(3, zone=0, cell=1), 0.0)
+OTHER_ZONE = Server(entry(4, zone=1, cell=2), 0.0)
+
+
+def possibly_executed_request(executed_at: float = 0.0) -> RequestState:
+    request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
+    request.possibly_executed_on = FIRST_SERVER
+    request.possibly_executed_at = executed_at
+    return request
+
+
+def keyed_class(scope: DeduplicationScope, window: float = 5.0) -> RequestClass:
+    return replace(
+        CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope, deduplication_window=window
+    )
+
+
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_any_server_may_be_tried_while_no_attempt_may_have_been_executed(idempotency):
+    request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
+    assert may_retry_on(1.0, request, replace(CLASS, idempotency=idempotency), OTHER_ZONE)
+
+
+@pytest.mark.parametrize(
+    ("scope", "allowed"),
+    [
+        (DeduplicationScope.ALL, [FIRST_SERVER, SAME_CELL, SAME_ZONE, OTHER_ZONE]),
+        (DeduplicationScope.ZONE, [FIRST_SERVER, SAME_CELL, SAME_ZONE]),
+        (DeduplicationScope.CELL, [FIRST_SERVER, SAME_CELL]),
+    ],
+)
+def test_possibly_executed_keyed_request_may_be_retried_within_its_deduplication_scope(scope, allowed):
+    request = possibly_executed_request()
+    servers = [FIRST_SERVER, SAME_CELL, SAME_ZONE, OTHER_ZONE]
+    assert [server for server in servers if may_retry_on(1.0, request, keyed_class(scope), server)] == allowed
+
+
+@pytest.mark.parametrize("scope", list(DeduplicationScope))
+def test_keyed_request_may_be_retried_only_before_the_end_of_its_deduplication_window(scope):
+    request = possibly_executed_request(executed_at=10.0)
+    request_class = keyed_class(scope, window=0.5)
+    assert may_retry_on(10.499, request, request_class, FIRST_SERVER)
+    assert not may_retry_on(10.5, request, request_class, FIRST_SERVER)
+
+
+def test_possibly_executed_request_is_retried_anywhere_if_idempotent_and_nowhere_if_not():
+    request = possibly_executed_request()
+    not_idempotent = replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
+    assert may_retry_on(100.0, request, CLASS, OTHER_ZONE)
+    assert not may_retry_on(0.0, request, not_idempotent, FIRST_SERVER)
+
+
+def test_reason_to_give_up_is_the_attempts_then_the_deadline_then_the_missing_server():
+    limits = Limits(max_attempts=2)
+    request = possibly_executed_request()
+    request.no_server_reason = RejectReason.SLOW_START_LIMIT
+    request.attempts = 1
+    assert not attempts_exhausted(request, limits)
+    assert give_up_reason(request, 1.0, limits) is RejectReason.SLOW_START_LIMIT
+    assert give_up_reason(request, 0.0, limits) is RejectReason.DEADLINE_EXCEEDED
+    request.attempts = 2
+    assert attempts_exhausted(request, limits)
+    assert give_up_reason(request, 0.0, limits) is RejectReason.ATTEMPTS_EXHAUSTED
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -30,15 +30,8 @@
     warm_up_load_rate,
 )
 
-from aspensaddle.core.actions import (
-    Reject,
-    RejectReason,
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    ConnectionLoadReported,
-    Outcome,
-)
+from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
+from aspensaddle.core.events import ConnectionLoadReported, Outcome
 
 FAST = replace(RULES, slow_start_duration=8.0, initial_capacity_fraction=0.3)
 
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -6,17 +6,10 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, entry
-from lock_step import (
-    DiscoveryHarness,
-    listed_target,
-)
-
-from aspensaddle.core.actions import (
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    Outcome,
-)
+from lock_step import DiscoveryHarness, listed_target
+
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.core.events import Outcome
 
 
 def test_rotation_shares_follow_the_ratios():
