--- a/tests/load_report_harness.py
+++ b/tests/load_report_harness.py
@@ -24,7 +24,7 @@
 
 
 def harness_with_reports(servers=4, **more) -> BalancerHarness:
-    """A balancer with a few connections everywhere, whose servers all told 0.4."""
+    """A harness with five connections a server, whose servers all reported a utilization of 0.4."""
     harness = BalancerHarness(servers, replace(HEALTH_CHECK_SETTINGS, **more))
     for _ in range(5 * len(harness.balancer.servers)):
         harness.place(load_hint=0.02)
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -46,7 +46,7 @@
 
 
 def place_on_each(harnesses: list[BalancerHarness], server: int) -> Iterator[tuple[BalancerHarness, StartAttempt]]:
-    """Each balancer places one more connection; those that went to this server."""
+    """Place one more connection on each balancer; yield those that went to `server`."""
     for harness in harnesses:
         (send,) = harness.ask(load_hint=LOAD)
         if isinstance(send, StartAttempt):
@@ -60,7 +60,7 @@
 
 
 def lose_connections(harness: BalancerHarness, times: int) -> None:
-    """Connections that stood for long are cut off by their servers."""
+    """Establish connections that hold for 10 s and are then lost."""
     for _ in range(times):
         send = harness.place(load_hint=LOAD)
         harness.tick(0.1)
@@ -69,7 +69,7 @@
 
 
 def place_with_reported_load(harness: BalancerHarness, load: float) -> tuple[StartAttempt, list[Action]]:
-    """A connection that tells its load when it is up; what is done then."""
+    """Establish a connection that reports its load; return its attempt and the actions that follow."""
     send = harness.place()
     return send, harness.balancer.handle(
         harness.now, ConnectionLoadReported(send.request_id, send.server, load)
@@ -77,8 +77,11 @@
 
 
 def play_joining_servers(count: int, settings: Settings, groups: int, asked: float) -> dict[int, list[float]]:
-    """Six in ten servers start while each mean server is asked for `asked` connections a second, at some balancers
-    several times the mean, of groups of sizes by Zipf: at which ages each new one was sent a connection."""
+    """Play a fleet of which six in ten servers join, with `asked` connections per second and server.
+
+    Some balancers get several times the mean, and the sizes of the session groups follow Zipf's law. Return for each
+    joining server its ages, in seconds, at which it was sent a connection.
+    """
     draw, now, servers = Random(count), 1000.0, OLD_SERVER_COUNT + len(JOINING_STARTS)
     entries = [entry(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
     entries += [entry(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
@@ -106,7 +109,7 @@
 
 
 def warm_up_load_rate(settings: Settings, age: float, bears: float = 2.0) -> float:
-    """The load a second by which a new server is filled within its warm-up, at worst."""
+    """Return the load per second that fills a server of a given age within its warm-up."""
     rules = settings.rules
     warmth = rules.initial_capacity_fraction + (1 - rules.initial_capacity_fraction) * min(
         1.0, age / rules.slow_start_duration
@@ -116,22 +119,22 @@
 
 @dataclass
 class Fleet:
-    """What is played."""
+    """A fleet to play: processes, servers, traffic and slow start rules."""
 
     processes: int
     servers: int = 24
-    cold: int = 12  # of them, all started together at time 0
+    cold: int = 12  # of them that warm up, all started at time 0
     asked: float = 1.5  # connections a second for each server
     seconds: float = 8.0
     groups: int = 0
-    restarts: float | None = None  # when most of the processes start anew
-    late: float = 2.0  # a start is told within so many seconds
-    live: float = 1.0  # the part of the processes that get anything
+    restarts: float | None = None  # when most of the processes restart, in seconds
+    late: float = 2.0  # seconds within which each process learns of a start
+    live: float = 1.0  # fraction of the processes that get requests
     rules: ServiceRules = field(default_factory=lambda: RULES)
 
 
 def request_budget(rules: ServiceRules, age: float) -> float:
-    """N: the requests of mean work that fill a server that old in the time that the settings name."""
+    """Return how many requests of mean load may reach a server of a given age within the overload window."""
     warmth = rules.initial_capacity_fraction + (1 - rules.initial_capacity_fraction) * min(
         1.0, age / rules.slow_start_duration
     )
@@ -139,7 +142,7 @@
 
 
 def play_fleet(f: Fleet, seed: int) -> dict[int, list[float]]:
-    """At which ages each cold server was sent a request by a process that had been told of its start."""
+    """Return for each warming server its ages, in seconds, at which it was sent a request."""
     draw, start = Random(seed), 1000.0
     settings = replace(
         SETTINGS, balancer_count=f.processes, session_groups=f.groups > 0, rules=f.rules, limits=Limits()
@@ -187,7 +190,7 @@
 
 
 def budget_violations(f: Fleet, seeds: range) -> list[tuple[int, int, float, float]]:
-    """Servers that were sent more than chance explains: seed, server, sent in the worst time, allowed."""
+    """Return the servers over their budget and its random spread: seed, server, requests in the window, allowed."""
     over = []
     for seed in seeds:
         for server, ages in play_fleet(f, seed).items():
@@ -222,7 +225,7 @@
         self.update_endpoints(*self.fleet.take(update), scope=update.scope)
 
     def ends(self, draw=None, **more):
-        """Ask once, and let each attempt stand, or end as drawn: the one final action."""
+        """Send one request, end its attempts as drawn, and return its final action."""
         (action,) = self.ask(load_hint=LOAD, **more)
         while isinstance(action, StartAttempt):
             assert self.balancer.servers[action.server].is_ready and action.server in self.fleet.addresses
@@ -235,8 +238,11 @@
 
 
 def play_discovery(processes, starts, asked, restarts=False):
-    """Eight seconds of all of them: how many were turned away, how much was sent to the runners of `starts` (when each
-    started), and which of these were sent more than the letter's law of chance lets pass."""
+    """Play eight seconds of all processes.
+
+    Return how many requests were rejected, how many went to the servers of `starts` (start times by uid), and which
+    of these servers were sent more than their budget and its random spread allow.
+    """
     draw, turned, sent = Random(1), 0, {uid: [] for uid in starts}
     for step, now in ((step, NOW + step / 10) for step in range(80)):
         starts = dict.fromkeys(starts, now) if restarts and not step % 10 else starts
--- a/tests/test_admission_of_requests.py
+++ b/tests/test_admission_of_requests.py
@@ -24,7 +24,7 @@
 
 
 def test_rejections_grow_with_the_fraction_of_slow_servers():
-    """Guards against a fleet that sheds its clients in circles and serves nobody well."""
+    """Without rejections the fleet would migrate its clients in circles under overload."""
     harness = BalancerHarness(11)
     sends = {s.server: s for s in (harness.place() for _ in range(22))}
     for slow, refused in ((1, 0), (3, 30), (11, 60)):  # of 11 + 1: none, half, all
@@ -48,8 +48,8 @@
 
 @pytest.mark.parametrize(("count", "waits"), [(1, False), (2, False), (40, True), (HUNDREDS_OF_BALANCERS, True)])
 def test_only_reconnecting_clients_are_rejected_while_connections_are_being_lost(count, waits):
-    """A server that has dropped all it held is held down by clients that come back at once, and no balancer of many
-    can tell which server that is."""
+    """Clients that reconnect at once would keep the server down that lost them, and with many balancers none can
+    tell which server that is."""
     harness = BalancerHarness(LARGE_SERVER_COUNT, replace(SETTINGS, balancer_count=count))
 
     def refused(returning: bool) -> int:
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -63,8 +63,8 @@
 
 
 def test_many_balancers_keep_session_groups_on_few_servers_without_coordination():
-    """A server pays three mean loads for each group that it holds any of: where each of many balancers looks only
-    at what it carries itself, nearly every connection pays."""
+    """A server pays three mean loads for each group that it holds any of. If each of many balancers placed by its
+    own load alone, nearly every connection would add that cost."""
     draw, groups = Random(1), range(30)
     sizes = [1 / (g + 1) for g in groups]
     harnesses = [
@@ -114,7 +114,7 @@
 
 
 def test_restarted_balancers_find_the_same_servers_after_half_of_them_are_replaced():
-    """Lock step, 200 modules: pairs of group and server stay near those at the start, and no connection is alone."""
+    """With 200 balancers, the pairs of group and server stay near those before the restart."""
     draw, groups, clients = Random(1), range(30), range(600)
     group = dict(zip(clients, draw.choices(groups, [1 / (g + 2) for g in groups], k=600), strict=True))
     entries = large_fleet(60)
@@ -138,7 +138,7 @@
 
 
 def test_reconnecting_client_waits_while_its_preferred_server_warms_up():
-    """What cold servers can't take yet would push the warm ones over, each in a place that costs its group."""
+    """Otherwise the load that warming servers cannot take yet would overload the warm ones."""
     entries = [entry(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
 
     def answers(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("load", [0.0, 0.05])
 def test_weights_and_loads_of_zero_leave_affinity_working(load):
-    """A weight of 0 among the homes, and a rule that lets nothing pass, were divided by."""
+    """A preferred server of weight 0 and a slow start limit of 0 cause no division by zero."""
     rules = replace(SETTINGS.rules, initial_capacity_fraction=0.0, overload_multiple=0.0)
     harness = BalancerHarness(large_fleet(20), replace(SESSION_GROUP_SETTINGS, rules=rules))
     for n in range(12):
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -16,7 +16,7 @@
 CORES = st.floats(0, 100)
 
 
-# The seed that this had before the fields were renamed.
+# A derandomized test draws by the hash of its source; the seed keeps the draws of an earlier source.
 @hypothesis.seed(0x0E0A90713AC8CC6B1406E9B9C757BC0FAF1DB04AA7C6B4B53B8612D9A1AF28561CB274164F2FC4C27741B7217CFB092A)
 @given(
     st.lists(st.tuples(CORES, st.floats(0, 1)), max_size=30),
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -36,7 +36,7 @@
 
 
 def test_slow_servers_that_lost_all_connections_still_count_as_slow():
-    """Guards against losing sight of an overload because what would show it has been broken off."""
+    """An overload is still detected after the connections that reported it were lost."""
     harness = BalancerHarness(6)
     sends = [harness.place() for _ in range(6)]
     for s in sends[:5]:
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("count", [2, MANY_BALANCERS])
 def test_empty_slow_server_gets_as_many_trials_from_many_balancers_as_from_few(count):
-    """Each balancer that holds nothing there learns only by a trial of its own that the server is slow still."""
+    """A balancer without connections there learns only by its own attempt that the server is still slow."""
     harnesses, seconds, tries = (
         harnesses_in_lock_step(settings=replace(SETTINGS, balancer_count=count), count=count),
         60,
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("count", [2, MANY_BALANCERS])
 def test_server_with_connections_is_slow_no_longer_than_its_reports_say(count):
-    """Forty balancers must not remember long what one of them can see has ended."""
+    """A balancer that gets reports does not extend the slow time for the number of balancers."""
     harness = BalancerHarness(SERVER_COUNT, replace(SETTINGS, balancer_count=count))
     sends = [harness.place(load_hint=LOAD) for _ in range(3 * SERVER_COUNT)]
     assert sum(s.server == 3 for s in sends) > 1
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("count", [1, 3, 40, 230])
 @pytest.mark.parametrize("others", [0, 1])
 def test_one_slow_server_does_not_make_a_balancer_of_few_connections_reject_all(count, others):
-    """On calm and roll: 15 or more, for 4 s on end, with no attempt in between."""
+    """Fewer than 40 requests in a row, 0.1 s apart, are rejected."""
     harness = DiscoveryHarness([listed_target(n) for n in range(60)], count)
     action = [harness.ends() for _ in range(1 + others)][0]
     harness.balancer.handle(harness.now, ServerLatencyReported(action.request_id, action.server, 0.5))
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -15,7 +15,7 @@
 
 
 def test_server_loaded_by_other_balancers_gets_no_new_connections():
-    """Other programs and other balancers show in its own report alone."""
+    """Load of other programs and other balancers is known from the server's own report only."""
     harness = harness_with_reports()
     report_load(harness, 2, 0.8)
     assert all(harness.place(load_hint=0.02).server != 2 for _ in range(12))
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -27,7 +27,7 @@
 
 
 def test_reconnecting_clients_of_a_lost_balancer_use_the_whole_fleet():
-    """They come over in a crowd, and their zone's servers have room that this balancer can't see."""
+    """They arrive together, and this balancer does not know how much capacity its local zone has left."""
     harness = BalancerHarness(TWO_ZONES, settings=replace(SETTINGS, zone_count=2))
     servers = [harness.place(load_hint=0.05).server for _ in range(200)]  # 10 cores listed, 5 of them here
     first = servers[:25]  # 1.25 of load for 5 cores
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize(("count", "local"), [(2, True), (MANY_BALANCERS, False)])
 def test_local_zone_is_preferred_by_the_estimated_load_of_all_balancers(count, local):
-    """One of forty carries next to nothing itself while its zone is buried under what all send there."""
+    """One of forty balancers sees a fortieth of the load of its zone."""
     servers = [entry(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
     harness = BalancerHarness(servers, replace(MANY_BALANCERS_SETTINGS, balancer_count=count, zone_count=2, zone=0))
     zones = [harness.balancer.servers[harness.place(load_hint=LOAD).server].zone for _ in range(16)]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 
 
 def test_servers_that_left_the_list_are_forgotten():
-    """Guards against a list that grows with every machine that ever ran."""
+    """The records do not grow with every server that was ever listed."""
     harness = BalancerHarness(3)
     sends = [harness.place() for _ in range(6)]
     harness.gone(1)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -26,7 +26,7 @@
 
 
 def harness_with_grown_loads(servers, **more):
-    """Servers of which the first has connections whose loads grew after they were placed."""
+    """A harness whose server 1 has connections with loads that grew after they were placed."""
     harness = BalancerHarness(servers, **more)
     sends = [harness.place(load_hint=0.02) for _ in range(20 * servers)]
     for send in sends:
@@ -93,7 +93,7 @@
 
 
 def test_more_leaves_a_slow_server_where_most_balancers_get_no_report_of_it():
-    """Those that hold nothing there hear nothing and send it newcomers: as many must leave besides."""
+    """Balancers without connections there get no report and keep placing there, so that as many more must leave."""
     harnesses, rounds, moved, there = harnesses_in_lock_step(), 200, 0, 0
     for _ in range(4):
         for harness in harnesses:
@@ -130,7 +130,7 @@
 def test_heaviest_connections_migrate_while_servers_lose_connections_for_lack_of_capacity(
     count, cores, breaks, leaves
 ):
-    """A twentieth of the connections may ask for most of the work, each worth no more than a light one."""
+    """A twentieth of the connections may cause most of the load, and each counts no more than a light one."""
     harness = BalancerHarness(
         [entry(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
     )
@@ -172,6 +172,4 @@
     answers = [harness.ask(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
     stormed = sum(isinstance(a, Reject) and a.reason is RejectReason.RETRY_STORM for a in answers)
     assert (60 <= stormed <= 150) if leaves else not stormed
-    assert not any(
-        isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50)
-    )  # who comes for the first time
+    assert not any(isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50))  # new clients
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -38,7 +38,7 @@
 
 
 def test_server_that_drops_new_connections_is_ejected_until_one_holds():
-    """Such a server carries nothing, so its turn would come again and again."""
+    """Such a server carries no load, so that without ejection its turn would always come next."""
     harness = BalancerHarness(3)
     bad, sent = harness.place().server, 0
     for _ in range(10):
@@ -70,7 +70,7 @@
 
 
 def test_server_that_fails_at_once_does_not_attract_every_turn():
-    """Guards against a black hole: what fails quickly carries nothing, so its turn would always come first."""
+    """A server that fails fast carries no load, so that by load alone it would always be chosen first."""
     harness = BalancerHarness(4)
     hits = 0
     for _ in range(40):
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(("count", "shunned"), [(2, False), (200, True)])
 def test_server_that_lost_a_connection_is_avoided_by_its_groups_for_a_while(count, shunned):
-    """What has piled up there has to be worked off; sent on, all that it held would come back and hold it down."""
+    """The server needs time to recover; otherwise all clients that it lost would reconnect to it."""
     leaving = [entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
     harness = BalancerHarness([*large_fleet(60), *leaving], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     first = harness.place(affinity_key=7, session_group=3)
--- a/tests/test_passive_measurement.py
+++ b/tests/test_passive_measurement.py
@@ -15,7 +15,7 @@
 
 
 def count_failure(harness: BalancerHarness, server: int, outcome: Outcome = Outcome.REJECTED) -> None:
-    """One send to a server that does not accept it."""
+    """Count one attempt that the server did not accept."""
     harness.balancer.passive_measurement.count(harness.balancer.servers[server], accepted=False)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -37,7 +37,7 @@
 
 
 def test_warming_server_is_filled_by_many_balancers_within_its_limit():
-    """Each of forty carries next to nothing, so that what the others carry says little of what a server can."""
+    """Each of forty balancers carries little, so that its own load says little of the capacity of a server."""
     rules, now, cores = SETTINGS.rules, 1000.0, 2.0
     servers = [entry(n, weight=cores, started_at=now if n == 1 else 0.0) for n in range(1, SERVER_COUNT + 1)]
     harnesses, sent = harnesses_in_lock_step(servers), 0.0
@@ -65,11 +65,11 @@
 @pytest.mark.parametrize("groups", [0, 1, 38])
 @pytest.mark.parametrize("count", [3, 40, 230])
 def test_all_balancers_together_stay_within_the_limit_of_warming_servers(count, groups, slow_start_duration):
-    """Also where more is asked for than in an ordinary second, by few groups, and mostly at some balancers."""
+    """Also at a high request rate, with few groups, and with most requests at some balancers."""
     rules = replace(SETTINGS.rules, slow_start_duration=slow_start_duration)
     settings = replace(SETTINGS, balancer_count=count, session_groups=groups > 0, rules=rules)
     sent = play_joining_servers(count, settings, groups=groups, asked=3.0)
-    window, chance = 2 * rules.overload_window, 6 * LOAD  # two windows of the rule, lest a few connections be all
+    window, chance = 2 * rules.overload_window, 6 * LOAD  # two windows, so that more than a few connections count
     for some in sent.values():
         for first in some:
             load = LOAD * sum(first <= age < first + window for age in some)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize(("count", "groups"), [(3, 38), (40, 38), (230, 38), (230, 1)])
 def test_warming_servers_take_a_part_of_the_requests_before_they_are_half_warm(count, groups):
-    """A debt of each balancer lets one connection in minutes through where they are many."""
+    """A limit kept by each balancer for itself would admit one connection in minutes where they are many."""
     settings = replace(SETTINGS, balancer_count=count, session_groups=True)
     sent = play_joining_servers(count, settings, groups=groups, asked=0.8)
     even = 0.8 * LOAD * sum(JOINING_SECONDS - start for start in JOINING_STARTS)
@@ -105,9 +105,7 @@
     ids=str,
 )
 def test_no_warming_server_gets_more_from_all_balancers_than_chance_explains(fleet):
-    """Measured before: 30 processes and one group 11 of 96 servers; 20 that start anew while each gets 48 a second
-    8 of 48. A group went whole to the first server of its walk; a process that starts took its traffic for one a
-    second."""
+    """Also with one session group, which has one preferred server, and with processes that have just restarted."""
     assert budget_violations(fleet, range(2)) == []
 
 
@@ -117,7 +115,7 @@
     ids=str,
 )
 def test_warming_servers_get_at_least_a_tenth_of_their_budget(fleet):
-    """A tenth of the budget at least, which is what waiting for the mean of many processes leaves."""
+    """At least a tenth of the budget is used."""
     sent = play_fleet(fleet, 0)
     allowed = sum(
         request_budget(fleet.rules, age / 10) / fleet.rules.overload_window / 10
@@ -145,7 +143,7 @@
 
 
 def test_many_balancers_send_a_new_server_no_more_than_its_limit():
-    """Guards against the rush at a server that starts empty: all balancers would give it their next turns."""
+    """A new server is empty, so that without slow start all balancers would choose it next."""
     balancers, placed_before = 40, 20
     settings = replace(SETTINGS, balancer_count=balancers)
     early = 0
@@ -181,7 +179,7 @@
 
 
 def test_without_listed_sizes_warming_servers_are_filled_by_the_reported_capacity():
-    """A listed weight that is always 1 says nothing of cores: a machine of five would be filled as one."""
+    """A listed weight of 1 says nothing of cores, so that the capacity has to come from reports."""
     sent = {}
     for sized in (False, True):
         rules = replace(SETTINGS.rules, slow_start_duration=8.0)
@@ -209,7 +207,7 @@
 @pytest.mark.parametrize("start", [0.0, 60.0, 1e6])
 @pytest.mark.parametrize("count", [1, 3, 40])
 def test_servers_started_now_or_in_the_future_warm_up_within_the_limit(start, count):
-    """Until it is past, a start in the future is one now. Who does not fit is refused."""
+    """A start in the future counts as one now. Requests over the limit are rejected."""
     some = [listed_target(n, NOW + start) for n in range(12)]
     turned, sent, fell = play_discovery(
         [DiscoveryHarness(some, count, n) for n in range(count)], {t["uid"]: NOW for t in some}, 60
@@ -218,7 +216,7 @@
 
 
 def test_clock_skew_shifts_the_start_of_slow_start():
-    """One clock is read by all machines (PROTOCOL), so nothing corrects for it: behind sends less, ahead more."""
+    """Skew is not corrected (PROTOCOL): a clock that is behind sends less, one that is ahead more."""
     for skew, refuses in ((-60.0, True), (60.0, False)):
         harness = DiscoveryHarness([listed_target(n, NOW) for n in range(3)], 40, now=NOW + skew)
         assert any(isinstance(harness.ends(), Reject) for _ in range(40)) is refuses
@@ -240,7 +238,7 @@
 
 @pytest.mark.parametrize("count", [1, 3, 40, 230])
 def test_fleet_that_is_all_warming_up_without_reported_loads_gets_requests_within_the_limit(count):
-    """Nothing is sent, so no load is heard of, so nothing is sent."""
+    """Without a first request no load would ever be reported."""
     draw, some = Random(1), [listed_target(n, NOW) for n in range(12)]
     processes, sent = [DiscoveryHarness(some, count, n) for n in range(count)], []
     for step in range(80):
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -54,7 +54,7 @@
 
 
 def test_shares_follow_the_core_speed_of_the_machine_type():
-    """The list's sizes tell their cores alone."""
+    """Listed weights are core counts; the speed of a core depends on the machine type."""
     settings = replace(SETTINGS, machine_types=("other", "plain-runner", "fast-runner"), core_speeds=(1.0, 0.97, 1.5))
     harness = BalancerHarness(
         [entry(1, machine_type=1), entry(2, machine_type=2), entry(3, machine_type=0), entry(4)], settings=settings
