--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -7,22 +7,15 @@
 import pytest
 from load_report_harness import harness_with_reports, report_load
 
-from aspensaddle.core.actions import (
-    Migrate,
-    Reject,
-    StartAttempt,
-)
+from aspensaddle.core.actions import Migrate, Reject, StartAttempt
 from aspensaddle.core.admission import MAX_UTILIZATION
-from aspensaddle.core.events import (
-    HealthCheckCompleted,
-    Outcome,
-)
+from aspensaddle.core.events import HealthCheckCompleted, Outcome
 from aspensaddle.core.migration import MAX_UTILIZATION as MIGRATION_UTILIZATION
 from aspensaddle.frontends.line_protocol.health_checker import parse_report
 
 
 def test_server_loaded_by_other_balancers_gets_no_new_connections():
-    """Other programs and other balancers show in its own report alone."""
+    """Load of other programs and other balancers is known from the server's own report only."""
     harness = harness_with_reports()
     report_load(harness, 2, 0.8)
     assert all(harness.place(load_hint=0.02).server != 2 for _ in range(12))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,30 +6,10 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, entry
-from lock_step import (
-    BALANCER_COUNTS,
-    LOAD,
-    MANY_BALANCERS,
-    NOW,
-    SERVER_COUNT,
-    DiscoveryHarness,
-    listed_target,
-)
-
-from aspensaddle.core.actions import (
-    Reject,
-    SetTimer,
-    StartAttempt,
-    WatchEndpoints,
-)
-from aspensaddle.core.events import (
-    EndpointsChanged,
-    EndpointUpdateScope,
-    Outcome,
-    ServerState,
-    Started,
-    TimerFired,
-)
+from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, listed_target
+
+from aspensaddle.core.actions import Reject, SetTimer, StartAttempt, WatchEndpoints
+from aspensaddle.core.events import EndpointsChanged, EndpointUpdateScope, Outcome, ServerState, Started, TimerFired
 from aspensaddle.support.json_fields import DecodeError
 
 POLLING = replace(SETTINGS, polls_discovery=True)
@@ -56,7 +36,7 @@
 
 
 def test_servers_that_left_the_list_are_forgotten():
-    """Guards against a list that grows with every machine that ever ran."""
+    """The records do not grow with every server that was ever listed."""
     harness = BalancerHarness(3)
     sends = [harness.place() for _ in range(6)]
     harness.gone(1)
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -6,15 +6,11 @@
 
 import pytest
 from helpers import BalancerHarness, entry
-from lock_step import (
-    SESSION_GROUP_SETTINGS,
-    large_fleet,
-)
+from lock_step import SESSION_GROUP_SETTINGS, large_fleet
 
-from aspensaddle.core.events import (
-    Outcome,
-    ServerState,
-)
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.core.events import ClientDisconnected, Outcome, ServerState
+from aspensaddle.core.outlier_ejection import AVOIDANCE_SECONDS
 
 
 def test_unreachable_server_is_ejected_and_gets_one_half_open_attempt():
@@ -42,7 +38,7 @@
 
 
 def test_server_that_drops_new_connections_is_ejected_until_one_holds():
-    """Such a server carries nothing, so its turn would come again and again."""
+    """Such a server carries no load, so that without ejection its turn would always come next."""
     harness = BalancerHarness(3)
     bad, sent = harness.place().server, 0
     for _ in range(10):
@@ -74,7 +70,7 @@
 
 
 def test_server_that_fails_at_once_does_not_attract_every_turn():
-    """Guards against a black hole: what fails quickly carries nothing, so its turn would always come first."""
+    """A server that fails fast carries no load, so that by load alone it would always be chosen first."""
     harness = BalancerHarness(4)
     hits = 0
     for _ in range(40):
@@ -88,7 +84,7 @@
 
 @pytest.mark.parametrize(("count", "shunned"), [(2, False), (200, True)])
 def test_server_that_lost_a_connection_is_avoided_by_its_groups_for_a_while(count, shunned):
-    """What has piled up there has to be worked off; sent on, all that it held would come back and hold it down."""
+    """The server needs time to recover; otherwise all clients that it lost would reconnect to it."""
     leaving = [entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
     harness = BalancerHarness([*large_fleet(60), *leaving], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     first = harness.place(affinity_key=7, session_group=3)
@@ -101,3 +97,42 @@
     assert not shunned or first.server in [
         harness.place(affinity_key=n, session_group=3).server for n in range(100, 160)
     ]
+
+
+def servers_chosen_for_group(harness: BalancerHarness, group: int, keys: range) -> set[int]:
+    """The servers of one request for each affinity key. Each request ends at once and leaves no load."""
+    chosen = set()
+    for key in keys:
+        (attempt,) = harness.ask(affinity_key=key, session_group=group)
+        assert isinstance(attempt, StartAttempt)
+        chosen.add(attempt.server)
+        harness.balancer.handle(harness.now, ClientDisconnected(attempt.request_id))
+    return chosen
+
+
+def harness_with_lost_connection(draining_servers: int) -> tuple[BalancerHarness, int]:
+    """A harness whose first connection of group 3 was lost just now, and the server that lost it."""
+    draining = [entry(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
+    harness = BalancerHarness([*large_fleet(60), *draining], SESSION_GROUP_SETTINGS)
+    connection = harness.place(affinity_key=7, session_group=3)
+    harness.tick(3.0)  # it held, so that its loss is no failed attempt
+    harness.end(connection, Outcome.CONNECTION_LOST, finished=True)
+    return harness, connection.server
+
+
+def test_server_that_lost_a_connection_during_a_shortage_is_avoided_for_exactly_15_seconds():
+    harness, server = harness_with_lost_connection(draining_servers=10)
+    lost_at = harness.now
+    assert harness.balancer.state.shortage.missing > 0
+    assert AVOIDANCE_SECONDS == 15.0
+    for elapsed, avoided in ((0.0, True), (14.999, True), (15.0, False)):
+        harness.now = lost_at + elapsed
+        chosen = servers_chosen_for_group(harness, group=3, keys=range(100, 200))
+        assert (server not in chosen) is avoided, elapsed
+
+
+def test_server_that_lost_a_connection_without_a_shortage_is_not_avoided():
+    harness, server = harness_with_lost_connection(draining_servers=0)
+    assert harness.balancer.state.shortage.missing == 0
+    # Connections that stay, because without a shortage the group's least loaded server is chosen.
+    assert server in {harness.place(affinity_key=key, session_group=3).server for key in range(100, 140)}
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -6,17 +6,10 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, entry
-from lock_step import (
-    DiscoveryHarness,
-    listed_target,
-)
+from lock_step import DiscoveryHarness, listed_target
 
-from aspensaddle.core.actions import (
-    StartAttempt,
-)
-from aspensaddle.core.events import (
-    Outcome,
-)
+from aspensaddle.core.actions import StartAttempt
+from aspensaddle.core.events import Outcome
 
 
 def test_rotation_shares_follow_the_ratios():
@@ -61,7 +54,7 @@
 
 
 def test_shares_follow_the_core_speed_of_the_machine_type():
-    """The list's sizes tell their cores alone."""
+    """Listed weights are core counts; the speed of a core depends on the machine type."""
     settings = replace(SETTINGS, machine_types=("other", "plain-runner", "fast-runner"), core_speeds=(1.0, 0.97, 1.5))
     harness = BalancerHarness(
         [entry(1, machine_type=1), entry(2, machine_type=2), entry(3, machine_type=0), entry(4)], settings=settings
