--- a/aspensaddle/core/request_rate.py
+++ b/aspensaddle/core/request_rate.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-PRIOR_DENOMINATOR = 0.01  # of a process that has seen nothing: gives ten requests per second over ten ticks
+PRIOR_REQUESTS_PER_SECOND = 10.0  # of a process that has seen nothing
 
 
 class RequestRate:
@@ -12,6 +12,7 @@
         """Weigh requests over `span_ticks` ticks of one second."""
         self._span = span_ticks
         self._count = span_ticks
+        self._prior_weight = 1 / (span_ticks * PRIOR_REQUESTS_PER_SECOND)
         self._unseen = 1.0  # weight of the time before the start
 
     def count(self) -> None:
@@ -30,4 +31,4 @@
     def observed(self) -> float:
         """Return requests per second by what was seen, and the prior where next to nothing was."""
         seen = self._count - (self._span - 1) * self._unseen
-        return seen / (self._span * (1 + PRIOR_DENOMINATOR - self._unseen))
+        return seen / (self._span * (1 + self._prior_weight - self._unseen))
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -9,7 +9,7 @@
 from lock_step import LOAD, MANY_BALANCERS, MANY_BALANCERS_SETTINGS, SERVER_COUNT
 
 from aspensaddle.core.balancer_state import BalancerState
-from aspensaddle.core.locality import MAX_LOCAL_EXCESS, MAX_LOCAL_LOAD_PER_CORE, prefers_local_zone
+from aspensaddle.core.locality import MAX_LOCAL_LOAD_RATIO, MAX_LOCAL_LOAD_PER_CORE, prefers_local_zone
 
 TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
 def test_local_zone_is_preferred_up_to_an_excess_over_the_load_of_the_fleet(factor, preferred):
     fleet_load = 0.1  # per share; the local zone has a tenth of the shares
-    local_load = factor * MAX_LOCAL_EXCESS * 2 * fleet_load / 10
+    local_load = factor * MAX_LOCAL_LOAD_RATIO * 2 * fleet_load / 10
     assert prefers_local_zone(state_with_pools(local_load, fleet_load)) is preferred
 
 
