--- a/aspensaddle/core/events.py
+++ b/aspensaddle/core/events.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
 from typing import TypeAlias
@@ -60,7 +59,15 @@
         self.known_not_executed = known_not_executed
 
 
-LoadReport: TypeAlias = Mapping[str, float]
+@dataclass(slots=True)
+class LoadReport:
+    """What a server reports of itself, of all balancers together.
+
+    `utilization` is the load asked of it over what it can do now, `connections` are those that it holds.
+    """
+
+    utilization: float
+    connections: float
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/aspensaddle/core/load_report_fields.py
@@ -0,0 +1,24 @@
+"""The platform's names of load report fields, mapped to `LoadReport`."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+
+from aspensaddle.core.events import LoadReport
+
+UTILIZATION_FIELD = "x0"
+CONNECTIONS_FIELD = "inflight"
+NOT_REPORTED = -1.0  # out of range, so that the report is rejected as a whole
+
+
+def parse_load_report(fields: Mapping[str, float]) -> LoadReport:
+    """Return the report of a health check. Unknown fields are ignored."""
+    return LoadReport(
+        utilization=fields.get(UTILIZATION_FIELD, NOT_REPORTED),
+        connections=fields.get(CONNECTIONS_FIELD, NOT_REPORTED),
+    )
+
+
+def tells_load(field_names: Iterable[str]) -> bool:
+    """Return whether reports with these fields tell the load that all balancers together ask of a server."""
+    return {UTILIZATION_FIELD, CONNECTIONS_FIELD} <= set(field_names)
--- a/aspensaddle/core/load_reports.py
+++ b/aspensaddle/core/load_reports.py
@@ -9,10 +9,9 @@
 from dataclasses import dataclass
 
 from aspensaddle.core.events import LoadReport
+from aspensaddle.core.load_report_fields import tells_load
 from aspensaddle.core.settings import Settings
 
-UTILIZATION_FIELD = "x0"  # load asked of the server over what it can do now
-CONNECTIONS_FIELD = "inflight"
 SMOOTHED_REPORTS = 4  # a capacity is a running mean over so many reports
 MIN_CONNECTIONS = 5.0  # below these two a report says nothing of the capacity
 MIN_UTILIZATION = 0.02
@@ -47,8 +46,10 @@
 
         `own_load` is this balancer's load there, `default_capacity` that of a server without a known capacity.
         """
-        utilization = report.get(UTILIZATION_FIELD, -1.0) if report else -1.0
-        connections = report.get(CONNECTIONS_FIELD, -1.0) if report else -1.0
+        if report is None:
+            return False
+        utilization = report.utilization
+        connections = report.connections
         if not (
             0 <= utilization < MAX_PLAUSIBLE_UTILIZATION and 0 <= connections < MAX_PLAUSIBLE_CONNECTIONS
         ):  # NaN too
@@ -69,8 +70,7 @@
 
 def uses_load_reports(settings: Settings) -> bool:
     """Return whether health checks tell the load that all balancers together ask of a server."""
-    wanted = {UTILIZATION_FIELD, CONNECTIONS_FIELD}
-    return settings.limits.health_checks_allowed and wanted <= set(settings.load_report_fields)
+    return settings.limits.health_checks_allowed and tells_load(settings.load_report_fields)
 
 
 def health_check_interval(settings: Settings, server_count: int, requests_per_second: float) -> float:
--- a/aspensaddle/frontends/line_protocol/health_checker.py
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -9,6 +9,7 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
+from aspensaddle.core.load_report_fields import parse_load_report
 from aspensaddle.discovery.endpoint_registry import Fleet
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
 from aspensaddle.frontends.line_protocol.link import Link, first_word
@@ -98,7 +99,8 @@
             if link is not None:
                 self._keep_or_close(server, link, outcome)
         self._counters.add(f"health_checks_{outcome.label}" + ("" if report else "_without_report"))
-        self._driver.health_check_completed(server, outcome, trio.current_time() - started_at, report)
+        latency = trio.current_time() - started_at
+        self._driver.health_check_completed(server, outcome, latency, parse_load_report(report) if report else None)
 
     def _has_room(self, link: Link | None) -> bool:
         """Return whether one more may begin; close the oldest kept connection if that is needed for a new one."""
--- a/aspensaddle/simulator_adapter/wire.py
+++ b/aspensaddle/simulator_adapter/wire.py
@@ -37,6 +37,7 @@
     ServerState,
     TimerFired,
 )
+from aspensaddle.core.load_report_fields import parse_load_report
 from aspensaddle.support.json_fields import (
     DecodeError,
     Message,
@@ -122,7 +123,7 @@
     usage = obj(message, "usage")
     for name in usage:
         number(usage, name, None)
-    return usage
+    return parse_load_report(usage)
 
 
 def _parse_returned(message: Message, lists: EndpointLists) -> Event:
--- a/tests/load_report_harness.py
+++ b/tests/load_report_harness.py
@@ -7,6 +7,7 @@
 from helpers import SETTINGS, BalancerHarness
 
 from aspensaddle.core.events import HealthCheckCompleted, Outcome
+from aspensaddle.core.load_report_fields import parse_load_report
 
 HEALTH_CHECK_SETTINGS = replace(
     SETTINGS,
@@ -19,7 +20,7 @@
 
 
 def report_load(harness: BalancerHarness, server: int, x0: float, held: float = 100, **more: float) -> list:
-    told = {"x0": x0, "inflight": held, **more}
+    told = parse_load_report({"x0": x0, "inflight": held, **more})
     return harness.balancer.handle(harness.now, HealthCheckCompleted(server, Outcome.OK, 0.01, told)) or []
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,8 +10,8 @@
 from aspensaddle.core.actions import CancelAttempt, StartAttempt
 from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
 from aspensaddle.frontends.line_protocol.link import Link
-from aspensaddle.frontends.line_protocol.request_state import RequestState
 from aspensaddle.frontends.line_protocol.relay import Relay
+from aspensaddle.frontends.line_protocol.request_state import RequestState
 from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 
 ANSWER = re.compile(rb"(UP s-0|BUSY( \d+)?|ERR)\r\n")
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -10,6 +10,7 @@
 from aspensaddle.core.actions import Migrate, Reject, StartAttempt
 from aspensaddle.core.admission import MAX_UTILIZATION
 from aspensaddle.core.events import HealthCheckCompleted, Outcome
+from aspensaddle.core.load_report_fields import parse_load_report
 from aspensaddle.core.migration import MAX_UTILIZATION as MIGRATION_UTILIZATION
 from aspensaddle.frontends.line_protocol.health_checker import parse_report
 
@@ -51,9 +52,11 @@
 )
 def test_invalid_load_report_changes_nothing(told):
     harness, same = harness_with_reports(), harness_with_reports()
-    assert not harness.balancer.handle(harness.now, HealthCheckCompleted(1, Outcome.OK, 0.01, told))
     assert not harness.balancer.handle(
-        harness.now, HealthCheckCompleted(77, Outcome.OK, 0.01, {"x0": 0.9, "inflight": 3.0})
+        harness.now, HealthCheckCompleted(1, Outcome.OK, 0.01, None if told is None else parse_load_report(told))
+    )
+    assert not harness.balancer.handle(
+        harness.now, HealthCheckCompleted(77, Outcome.OK, 0.01, parse_load_report({"x0": 0.9, "inflight": 3.0}))
     )
     assert [harness.place(load_hint=0.02).server for _ in range(20)] == [
         same.place(load_hint=0.02).server for _ in range(20)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -9,7 +9,7 @@
 from lock_step import LOAD, MANY_BALANCERS, MANY_BALANCERS_SETTINGS, SERVER_COUNT
 
 from aspensaddle.core.balancer_state import BalancerState
-from aspensaddle.core.locality import MAX_LOCAL_LOAD_RATIO, MAX_LOCAL_LOAD_PER_CORE, prefers_local_zone
+from aspensaddle.core.locality import MAX_LOCAL_LOAD_PER_CORE, MAX_LOCAL_LOAD_RATIO, prefers_local_zone
 
 TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
 
--- a/tests/test_quic_engine.py
+++ b/tests/test_quic_engine.py
@@ -12,9 +12,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from aspensaddle.conformance import packet_builder
+from aspensaddle.conformance.link import Link
 from aspensaddle.conformance.quic_server import ServerMode
 from aspensaddle.conformance.testbed import Testbed, TestbedSetup
-from aspensaddle.conformance.link import Link
 from aspensaddle.core.actions import Migrate
 from aspensaddle.core.events import Endpoint, EndpointUpdateScope, Outcome, ServerState
 from aspensaddle.frontends.quic.initial import CONNECTION_REFUSED
