--- a/tests/inside.py
+++ b/tests/inside.py
@@ -1,4 +1,4 @@
-"""The line protocol front end within the test's own process, over loopback sockets: places between two lines can be held."""
+"""The line protocol front end in the test's own process, over loopback sockets, with gates to hold single steps."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Gate:
-    """A place that is held: whoever comes there waits until it is opened."""
+    """A step that is held until the gate is opened."""
 
     def __init__(self) -> None:
         self.reached, self.opened = trio.Event(), trio.Event()
@@ -46,7 +46,7 @@
 
 
 class Peer:
-    """A client, of which is kept all that it has read."""
+    """A client that keeps all that it has read."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream, self.got, self.was_reset = stream, b"", False
@@ -139,7 +139,7 @@
             await trio.sleep(0.002)
 
     async def gone(self) -> None:
-        """Until no connection is left; nothing of a request may be, then."""
+        """Wait until no connection is left, and check that no request is."""
         await self.until(lambda: not self.frontend.admission.open)
         assert not self.frontend.placing and not self.frontend.standing
         assert not self.driver._requests and not self.driver.balancer.requests
--- a/tests/test_answer_delivery.py
+++ b/tests/test_answer_delivery.py
@@ -1,4 +1,4 @@
-"""What was decided for a client arrives whole, whatever lies unread as its connection is closed."""
+"""A decided response arrives complete, also if unread bytes remain when the connection is closed."""
 
 import os
 import time
@@ -14,7 +14,7 @@
 
 
 def test_lines_that_nobody_reads_any_more_reset_no_connection_over_its_last_line():
-    """A runner's BYE comes while its client's lines lie unread: a plain close would take it with it."""
+    """The server's BYE arrives while lines of the client are unread: a plain close would reset the connection."""
     runner = Runner("s-0")
     runner.held = True
 
@@ -59,7 +59,7 @@
     "shed", ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "turn_out_all", "cut_all"]
 )
 def test_no_answer_that_is_to_come_is_lost_to_those_who_need_room(shed):
-    """The answer is decided and not written yet: before, the connection counted as one that had it."""
+    """The response is decided and not written yet, so the connection must not count as lingering."""
     runner = Runner("s-0", b"BUSY\r\n")
 
     async def script(f):
@@ -102,7 +102,7 @@
 
 
 def test_a_move_decided_as_a_connection_is_told_to_stand_comes_behind_its_up():
-    """Before the relay exists: there is nothing to stop yet."""
+    """The relay does not exist yet, so there is nothing to stop."""
     runner = Runner("s-0")
 
     async def script(f):
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,4 +1,4 @@
-"""Nothing is sent on for a client that has left, wherever it was."""
+"""No attempt is made for a client that has disconnected, at any stage."""
 
 import signal
 import socket
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize("leave", ["ends", "resets"])
 @pytest.mark.parametrize("behind", [0, 40])
 def test_one_that_left_in_the_accept_queue_is_not_sent_on(leave, behind):
-    """Its OPEN and its end are both there before the first look at it; others are before it."""
+    """Its OPEN and its end have both arrived before the first read; other clients are ahead of it."""
     runner = Runner("s-0")
     runner.held = True
 
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Rude clients: what they are owed, and that they cost others nothing."""
+"""Clients that are silent, slow or violate the protocol: their responses, and the shares of descriptors."""
 
 import time
 from contextlib import ExitStack
@@ -52,7 +52,7 @@
 
 
 def test_one_time_for_the_whole_stay_before_an_open(world):
-    """Each PING began the wait anew before, so a connection could be held for ever."""
+    """A PING must not restart the time limit, else a connection could be held for ever."""
     w = world()
     with w.client() as c:
         start = time.monotonic()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Every event in every place of a request's life: one whole answer or a MOVE between two lines, and nothing left."""
+"""Every event at every stage of a request: one complete response or a MOVE between two lines, and no leftovers."""
 
 import re
 
@@ -19,7 +19,7 @@
 
 
 class Place:
-    """A client that has come so far, and the runner's side of it where it has one."""
+    """A client at one stage, and the server's side of its connection if there is one."""
 
     def __init__(self, f, monkeypatch):
         self.f, self.gates, self.peer, self.runner = f, [], None, None
@@ -157,7 +157,7 @@
 
 
 def cross(place, event, monkeypatch):
-    """Have the event come there, let all go on, and check what is owed."""
+    """Cause the event at the stage, let everything continue, and check what the client got."""
     runner = Runner("s-0")
     runner.held = True
     f = Inside([runner], connect_timeout=2.0)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""One sum of descriptors: with the process filled to its limit, discovery, drains and its own end still have theirs."""
+"""Budget of descriptors: at the process's limit, discovery, draining and shutdown still have theirs."""
 
 import re
 import threading
--- a/tests/test_load_report_parser.py
+++ b/tests/test_load_report_parser.py
@@ -1,4 +1,4 @@
-"""What a runner's LOAD line is taken for, and that a runner which says it is slow gets nothing new."""
+"""Meaning of a server's LOAD line, and that a server that reports a high latency gets no new connection."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
 
 
 def told(settings, *figures):
-    """The notes of one connection that stands since 100 s, told (seconds after that, figure)."""
+    """Parse the LOAD lines of a connection established at 100 s, each as (seconds after that, figure)."""
     parser = LoadReportParser(settings, LatencySchedule(), 100.0)
     return [parser.parse(b"LOAD %s\r\n" % f, 100.0 + t) for t, f in figures]
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Random cuts of valid messages, and random garbage, against every parser of the fronts."""
+"""Random mutations of valid messages, and random garbage, for the parsers of front end, discovery and settings."""
 
 import json
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What passes between a client and its runner, the log, and a fault, without a process."""
+"""Relay between a client and its server, the log, and an internal error, without a process."""
 
 import os
 import socket
@@ -49,7 +49,7 @@
 
 
 def relay(script):
-    """Run a relay while `script(client, runner, relay)` plays both ends; the relay and whether it moves."""
+    """Run a relay while `script(client, runner, relay)` plays both ends; return it and whether the client migrates."""
 
     async def main():
         (client, ours), (theirs, runner) = pair(), pair()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The process's own end: whoever was taken gets a whole answer or a MOVE, and it ends in time."""
+"""Graceful shutdown: each accepted client gets a complete response or a MOVE, and the process ends in time."""
 
 import re
 import signal
