--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import hypothesis
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -38,3 +39,38 @@
     assert tight.missing >= short.missing and tight.max_connection_load <= short.max_connection_load
     eased.update([ServerCapacity(server.listed, server.listed) for server in servers], stand, blind, 0.0)
     assert eased.missing == 0 and eased.max_connection_load == float("inf")
+
+
+def shortage_of(available: float, **more: float) -> CapacityShortage:
+    """Ten servers of one core each, with `available` cores in all and 100 connections in the fleet."""
+    shortage = CapacityShortage()
+    figures = {"fleet_connections": 100, "unseen_fraction": 1.0, "lost_connections": 0.0, **more}
+    shortage.update([ServerCapacity(1.0, available / 10)] * 10, **figures)
+    return shortage
+
+
+@pytest.mark.parametrize(("available", "missing"), [(10.0, 0.0), (8.75, 0.5), (7.5, 1.0), (0.0, 1.0)])
+def test_missing_is_the_fraction_of_the_spare_quarter_that_is_not_available(available, missing):
+    assert shortage_of(available).missing == pytest.approx(missing)
+
+
+def test_allowed_load_falls_with_the_shortage():
+    # A fair share is 0.25 * 10 cores / 100 connections; 0.03 of a server's cores are more.
+    assert shortage_of(7.5).max_connection_load == pytest.approx(0.03)
+    assert shortage_of(8.75).max_connection_load == pytest.approx(0.03 / 0.5)
+    assert shortage_of(10.0).max_connection_load == float("inf")
+
+
+def test_allowed_load_is_at_least_half_the_mean_load():
+    assert shortage_of(7.5, mean_load=0.2).max_connection_load == pytest.approx(0.1)
+
+
+def test_lost_connections_limit_the_load_without_missing_capacity():
+    shortage = shortage_of(10.0, lost_connections=1.0)
+    assert shortage.missing == 0.0
+    assert shortage.max_connection_load == pytest.approx(0.03 / (0.3 * 0.5))
+
+
+def test_balancer_that_sees_the_whole_fleet_finds_no_shortage():
+    shortage = shortage_of(0.0, unseen_fraction=0.0, lost_connections=9.0)
+    assert (shortage.missing, shortage.max_connection_load) == (0.0, float("inf"))
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -60,12 +60,12 @@
         )
     )
     fleet = Fleet(config.zones)
-    d = BalancerHarness(list(fleet.take(config.known)), config.settings)
-    assert len(d.balancer.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
+    harness = BalancerHarness(list(fleet.take(config.known)), config.settings)
+    assert len(harness.balancer.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
     changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
-    d.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
-    assert len(d.balancer.servers) == len(fleet.addresses) == MANY
-    assert fleet.uid(d.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
+    harness.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
+    assert len(harness.balancer.servers) == len(fleet.addresses) == MANY
+    assert fleet.uid(harness.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
 
 
 def test_the_store_keeps_as_many_of_both_and_removed_ones():
@@ -111,14 +111,14 @@
     """A group that comes often looks at as many servers as its share of what came asks for."""
     cost: dict[int, list[int]] = {}
     for servers in (10, 1000):
-        d = BalancerHarness(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
+        harness = BalancerHarness(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
         for n in range(5):
-            d.place(load_hint=0.05, session_group=n)
-        d.tick()
+            harness.place(load_hint=0.05, session_group=n)
+        harness.tick()
         cost[servers] = [
-            lines_run(partial(d.place, load_hint=0.05, session_group=group)),
-            lines_run(d.tick),
-            lines_run(partial(d.update_endpoints, entry(1, state=ServerState.DRAINING))),
+            lines_run(partial(harness.place, load_hint=0.05, session_group=group)),
+            lines_run(harness.tick),
+            lines_run(partial(harness.update_endpoints, entry(1, state=ServerState.DRAINING))),
         ]
     request, tick, change = zip(cost[10], cost[1000], strict=True)
     assert request[1] <= growth * request[0]
@@ -128,9 +128,9 @@
 def test_a_thousand_servers_fit_into_a_small_part_of_the_memory_that_is_given():
     tracemalloc.start()
     try:
-        d = BalancerHarness(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
+        harness = BalancerHarness(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
         for n in range(200):
-            d.place(load_hint=0.05, session_group=n % 40)
+            harness.place(load_hint=0.05, session_group=n % 40)
         assert tracemalloc.get_traced_memory()[1] < 16 << 20  # of 80 MB
     finally:
         tracemalloc.stop()
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -73,6 +73,12 @@
     assert not prefers_local_zone(state)
 
 
+def test_local_zone_is_not_preferred_while_no_server_of_the_fleet_is_available():
+    state = state_with_pools(local_load=0.0, fleet_load=0.0)
+    state.local_pool.available_count = state.fleet_pool.available_count = 0
+    assert not prefers_local_zone(state)
+
+
 @pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
 def test_local_zone_is_preferred_up_to_an_excess_over_the_load_of_the_fleet(factor, preferred):
     fleet_load = 0.1  # per share; the local zone has a tenth of the shares
