--- a/aspensaddle/conformance/front.py
+++ b/aspensaddle/conformance/front.py
@@ -18,8 +18,8 @@
 from aspensaddle.conformance.net import Address, MemoryNet
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.quic.engine import Engine
 from aspensaddle.frontends.quic.packets import Malformed
 from aspensaddle.frontends.quic.session import Path as QuicPath
@@ -218,7 +218,7 @@
     def restart(self) -> None:
         """All is forgotten but the files and the list."""
         self.counters, self.faults = Counters(), list[str]()
-        self.fleet = Fleet(("here",))
+        self.fleet = EndpointRegistry(("here",))
         self.driver = Driver(parse_settings(settings(self._deadline)), self._seed, self, self.net.now)
         loaded = load_quic(self._file(self._toml), CLASSES)
         assert loaded is not None
@@ -234,7 +234,7 @@
         )
         self._next_sweep = self.net.now()
         self._slots: set[int] = set()
-        self.driver.start(self.fleet.take(parse_update({"rev": 1, "all": True, "targets": self._targets})))
+        self.driver.start(self.fleet.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": self._targets})))
 
     def _file(self, toml: str) -> Path:
         path = self.folder / "quic.toml"
@@ -296,8 +296,8 @@
 
     def lists(self, targets: list[dict[str, Any]]) -> None:
         self._targets = targets
-        update = parse_update({"rev": 1, "all": True, "targets": targets})
-        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+        update = parse_endpoint_list({"rev": 1, "all": True, "targets": targets})
+        self.driver.update_endpoints(update.scope, self.fleet.apply(update))
 
     def configure(self, toml: str) -> bool:
         from aspensaddle.support.files import ConfigError
--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -9,7 +9,7 @@
 from aspensaddle.core.machine_types import load_machines
 from aspensaddle.core.settings import Settings
 from aspensaddle.core.settings_parser import parse_settings
-from aspensaddle.discovery.endpoint_update import Update, parse_update
+from aspensaddle.discovery.endpoint_update import EndpointListUpdate, parse_endpoint_list
 from aspensaddle.support.address import Address, parse_address
 from aspensaddle.support.files import ConfigError, load_json
 from aspensaddle.support.hashing import stable_hash
@@ -30,7 +30,7 @@
     discovery: Address | None
     seed: int
     limits: LimitsOfProcess
-    known: Update
+    known: EndpointListUpdate
     settings: Settings
     classes: dict[str, int]  # the number of a class by its name
     tenants: dict[str, int]  # and of a tenant
@@ -85,7 +85,7 @@
     try:
         limits = _read_limits(obj(m, "limits", {}))
         where = "known."
-        known = parse_update(obj(m, "known", {}))
+        known = parse_endpoint_list(obj(m, "known", {}))
     except DecodeError as e:
         raise DecodeError(f"{where}{e}") from None
     if m.get("discovery") is None and not settings.polls_discovery:
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -17,8 +17,8 @@
 from aspensaddle.daemon.config import Config, ConfigSource
 from aspensaddle.daemon.reload import Reload
 from aspensaddle.daemon.shutdown import Phases, shut_down
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.watcher import Discovery
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.watcher import EndpointWatcher
 from aspensaddle.frontends.line_protocol.clients import Clients, LinesSettings
 from aspensaddle.frontends.line_protocol.servers import Servers
 from aspensaddle.frontends.quic.settings import QuicSettings, load_quic
@@ -50,25 +50,25 @@
     ) -> None:
         self._quic_file = quic_file
         self.config, self.log, self.counters = config, log, counters
-        self.fleet = Fleet(config.zones, config.settings.machine_types)
+        self.fleet = EndpointRegistry(config.zones, config.settings.machine_types)
         self.driver = Driver(config.settings, config.seed, self)
         self.servers = Servers(self.driver, self.fleet, self.counters, config.limits.sockets)
-        self.list: Discovery | StoreList | None = None
+        self.list: EndpointWatcher | StoreList | None = None
         if replica is not None and replica.settings.runners:
             from aspensaddle.daemon.stored import StoreList
 
             self.list = StoreList(replica, self.driver, self.fleet, self.counters, log)
         elif config.discovery is not None:
-            self.list = Discovery(
+            self.list = EndpointWatcher(
                 config.discovery,
                 self.driver,
                 self.fleet,
                 self.counters,
                 log,
                 config.seed,
-                agent=not config.settings.polls_discovery,
+                is_local_agent=not config.settings.polls_discovery,
             )
-            self.list.rev = config.known.rev
+            self.list.revision = config.known.revision
         self.clients = Clients(
             _lines(config),
             self.driver,
@@ -104,8 +104,8 @@
         if self.quic is not None:
             self.quic.bind()
         async with trio.open_nursery() as self._nursery:
-            self.driver.start(self.fleet.take(self.config.known))
-            if isinstance(self.list, Discovery):
+            self.driver.start(self.fleet.apply(self.config.known))
+            if isinstance(self.list, EndpointWatcher):
                 # Lists that are pushed come to an agent on this machine, and from there to whoever watches it. What
                 # it has counts as told, so it is watched from the first moment; asking it costs nothing.
                 self._call(self.list.start)
@@ -117,8 +117,8 @@
             self.log.event(
                 "started",
                 listen=self.config.listen,
-                rev=self.config.known.rev,
-                runners=[[t.uid, t.weight, t.model] for t in self.config.known.targets],
+                rev=self.config.known.revision,
+                runners=[[t.uid, t.weight, t.machine_type] for t in self.config.known.endpoints],
             )
             await self._signals(signals, listener)
 
@@ -178,13 +178,17 @@
         old, self.config = self.config, config
         self.driver.configure(config.settings)
         self.clients.configure(_lines(config))
-        if isinstance(self.list, Discovery) and config.discovery is not None and config.discovery != old.discovery:
-            self.list.move(config.discovery)
-            if not self.list.watching:
+        if (
+            isinstance(self.list, EndpointWatcher)
+            and config.discovery is not None
+            and config.discovery != old.discovery
+        ):
+            self.list.change_address(config.discovery)
+            if not self.list.is_running:
                 self._call(self.list.watch)
         if self.list is None and config.known != old.known:
             self.driver.update_endpoints(
-                EndpointUpdateScope.COMPLETE, self.fleet.take(replace(config.known, full=True))
+                EndpointUpdateScope.COMPLETE, self.fleet.apply(replace(config.known, complete=True))
             )
 
     def _prepare_quic(self, config: Config) -> Callable[[], list[str]]:
--- a/aspensaddle/daemon/stored.py
+++ b/aspensaddle/daemon/stored.py
@@ -8,8 +8,8 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import Config, with_settings
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import Update, parse_target
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import EndpointListUpdate, parse_endpoint
 from aspensaddle.store.replica import Replica
 from aspensaddle.store.state import Entry
 from aspensaddle.support.counters import Counters
@@ -22,18 +22,18 @@
 FIRST_WITHIN = 2.0  # how long a start waits to hear of the settings from a peer
 
 
-def runners_update(values: dict[str, str]) -> tuple[Update, list[str]]:
+def runners_update(values: dict[str, str]) -> tuple[EndpointListUpdate, list[str]]:
     """The list that the entries make up, and what is wrong with those that are left out."""
     targets, wrong = [], []
     for key, value in values.items():
         try:
-            target = parse_target(load_json(value.encode()))
+            target = parse_endpoint(load_json(value.encode()))
             if RUNNERS + target.uid != key:
                 raise DecodeError(f"uid is {target.uid!r:.60}")
             targets.append(target)
         except DecodeError as e:
             wrong.append(f"{key}: {e}")
-    return Update(0, True, tuple(targets)), wrong
+    return EndpointListUpdate(0, True, tuple(targets)), wrong
 
 
 async def stored_settings(replica: Replica, config: Config, log: Log) -> Config:
@@ -58,10 +58,12 @@
 class StoreList:
     """Stands where discovery does, for a driver whose list is kept in the store."""
 
-    def __init__(self, replica: Replica, driver: Driver, fleet: Fleet, counters: Counters, log: Log) -> None:
+    def __init__(
+        self, replica: Replica, driver: Driver, fleet: EndpointRegistry, counters: Counters, log: Log
+    ) -> None:
         self.replica, self.driver, self.fleet = replica, driver, fleet
         self.counters, self.log = counters, log
-        self.rev = 0
+        self.revision = 0
         self._watching = trio.CancelScope()
         self._changed = trio.Event()
         replica.changed = self.changed
@@ -94,9 +96,9 @@
         for why in wrong:
             self.counters.add("store runners refused")
             self.log.event("stored runner refused", why=why)
-        if not update.targets:
+        if not update.endpoints:
             return False
         self.counters.add("lists")
-        self.log.event("list", rev=0, full=True, targets=[[t.uid, t.state.value] for t in update.targets])
-        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+        self.log.event("list", rev=0, full=True, targets=[[t.uid, t.state.value] for t in update.endpoints])
+        self.driver.update_endpoints(update.scope, self.fleet.apply(update))
         return True
--- a/aspensaddle/discovery/__init__.py
+++ b/aspensaddle/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of runners: what it says, the number each has, and discovery, which tells it."""
+"""Service discovery: the endpoint list, the registry of known servers and the watch that keeps both current."""
--- a/aspensaddle/discovery/endpoint_registry.py
+++ b/aspensaddle/discovery/endpoint_registry.py
@@ -1,74 +1,93 @@
-"""The runners by number, and the address that each has."""
+"""Registry of the known servers: the number that the core knows each by, and its address."""
 
 from __future__ import annotations
 
 from aspensaddle.core.events import Endpoint, ServerState
-from aspensaddle.discovery.endpoint_update import Update
+from aspensaddle.discovery.endpoint_update import EndpointListUpdate, EndpointRecord
 from aspensaddle.support.address import Address
 from aspensaddle.support.hashing import stable_hash
 
+SERVER_NUMBER_BITS = 32
+UNKNOWN_ZONE_BITS = 16
 
-class Fleet:
-    """The runners by number: a number of 32 bits for every uid, and the address each has for this balancer.
 
-    A uid's number is a hash of it, the same at all balancers, which lay the same ring over these numbers. Of
-    two uids with one hash, the later known takes the hash of itself with a count behind it.
+class EndpointRegistry:
+    """Maps each uid to a 32-bit server number and to an address.
+
+    A server's number is a hash of its uid, so that all balancers lay the same hash ring. If two uids have the same
+    hash, the one registered later gets the hash of its uid with a counter appended.
+
+    Attributes:
+        addresses: The address of each server in the list, by server number.
     """
 
-    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...] = ()) -> None:
-        self.zones, self.kinds = zones, kinds
+    def __init__(self, zones: tuple[str, ...], machine_types: tuple[str, ...] = ()) -> None:
+        self.zones = zones
+        self.machine_types = machine_types
         self.addresses: dict[int, Address] = {}
         self._numbers: dict[str, int] = {}
         self._uids: dict[int, str] = {}
 
     def number(self, uid: str) -> int:
+        """Return the number of a uid, assigned on first use."""
         if (known := self._numbers.get(uid)) is not None:
             return known
-        n, salt = stable_hash(uid, 32), 0
-        while n in self._uids:
+        number = stable_hash(uid, SERVER_NUMBER_BITS)
+        salt = 0
+        while number in self._uids:
             salt += 1
-            n = stable_hash(f"{uid}#{salt}", 32)
-        self._numbers[uid], self._uids[n] = n, uid
-        return n
+            number = stable_hash(f"{uid}#{salt}", SERVER_NUMBER_BITS)
+        self._numbers[uid] = number
+        self._uids[number] = uid
+        return number
 
     def find(self, uid: str) -> int | None:
-        """The number of a runner that is in the list."""
-        n = self._numbers.get(uid)
-        return n if n in self.addresses else None
+        """Return the number of a server in the list, or None."""
+        number = self._numbers.get(uid)
+        return number if number in self.addresses else None
 
     def uid(self, server: int) -> str:
+        """Return the uid of a server number, or the number itself as text if it is unknown."""
         return self._uids.get(server, str(server))
 
     def forget(self, server: int) -> None:
+        """Remove a server and its number."""
         self.addresses.pop(server, None)
         if (uid := self._uids.pop(server, None)) is not None:
             del self._numbers[uid]
 
-    def take(self, update: Update) -> tuple[Endpoint, ...]:
-        """Note the addresses of an update and number its entries for the balancer. Of a runner that is named more
-        than once the last entry holds."""
-        entries = []
-        for t in update.targets:
-            e = Endpoint(
-                self.number(t.uid),
-                self._zone(t.zone),
-                t.cell,
-                t.state,
-                t.weight,
-                t.started_at,
-                self.kinds.index(t.model) if t.model in self.kinds else -1,
-            )
-            entries.append(e)
-            if t.address is not None:
-                self.addresses[e.server] = t.address
-            if e.state is ServerState.GONE:
-                self.forget(e.server)
-        if update.full:
-            named = {e.server for e in entries}
-            for server in [s for s in self._uids if s not in named]:
-                self.forget(server)
-        return tuple(entries)
-
-    def _zone(self, name: str) -> int:
-        # A zone that the settings do not name is held to be far away: it gets a number of its own.
-        return self.zones.index(name) if name in self.zones else len(self.zones) + stable_hash(name, 16)
+    def apply(self, update: EndpointListUpdate) -> tuple[Endpoint, ...]:
+        """Apply an update and return its entries for the core. If a server is named twice, the last entry holds."""
+        endpoints = tuple(self._apply_record(record) for record in update.endpoints)
+        if update.complete:
+            self._forget_all_except({endpoint.server for endpoint in endpoints})
+        return endpoints
+
+    def _apply_record(self, record: EndpointRecord) -> Endpoint:
+        endpoint = Endpoint(
+            self.number(record.uid),
+            zone=self._zone_index(record.zone),
+            cell=record.cell,
+            state=record.state,
+            weight=record.weight,
+            started_at=record.started_at,
+            machine_type=self._machine_type_index(record.machine_type),
+        )
+        if record.address is not None:
+            self.addresses[endpoint.server] = record.address
+        if endpoint.state is ServerState.GONE:
+            self.forget(endpoint.server)
+        return endpoint
+
+    def _forget_all_except(self, servers: set[int]) -> None:
+        for server in [known for known in self._uids if known not in servers]:
+            self.forget(server)
+
+    def _machine_type_index(self, name: str) -> int:
+        return self.machine_types.index(name) if name in self.machine_types else -1
+
+    def _zone_index(self, name: str) -> int:
+        # A zone that the settings do not name counts as remote: it gets an index of its own.
+        if name in self.zones:
+            return self.zones.index(name)
+        return len(self.zones) + stable_hash(name, UNKNOWN_ZONE_BITS)
--- a/aspensaddle/discovery/endpoint_update.py
+++ b/aspensaddle/discovery/endpoint_update.py
@@ -1,4 +1,7 @@
-"""What a list of runners says, decoded once into typed values."""
+"""Endpoint lists as the platform sends them, decoded into typed values.
+
+The only module that names the wire fields of an endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +11,24 @@
 from aspensaddle.support.address import Address, parse_address
 from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, flag, integer, number, text, word
 
-STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+WIRE_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
+MAX_WEIGHT = 1e9  # exclusive
 
 
 @dataclass(slots=True)
-class Target:
-    """One runner in a list."""
+class EndpointRecord:
+    """One server in an endpoint list.
+
+    Attributes:
+        uid: The platform's name of the server.
+        address: Where it listens; None only for a server that is gone.
+        zone: The name of its zone, empty if not told.
+        cell: The number of its cell.
+        state: Its state.
+        weight: Its listed capacity.
+        started_at: When it started, in seconds of Unix time; 0 if long ago.
+        machine_type: The name of its machine type, empty if not told.
+    """
 
     uid: str
     address: Address | None
@@ -21,54 +36,76 @@
     cell: int
     state: ServerState
     weight: float
-    started_at: float  # Unix time in seconds; 0: long ago
-    model: str = ""
+    started_at: float
+    machine_type: str = ""
 
 
 @dataclass(slots=True)
-class Update:
-    """A whole list, or the changes to one."""
+class EndpointListUpdate:
+    """A complete endpoint list, or the changes to one.
+
+    Attributes:
+        revision: The service's version of the list after this update.
+        complete: Whether servers that are not named are gone.
+        endpoints: The servers named, in the order of the list.
+    """
 
-    rev: int = 0
-    full: bool = True
-    targets: tuple[Target, ...] = ()
+    revision: int = 0
+    complete: bool = True
+    endpoints: tuple[EndpointRecord, ...] = ()
 
     @property
     def scope(self) -> EndpointUpdateScope:
-        return EndpointUpdateScope.COMPLETE if self.full else EndpointUpdateScope.INCREMENTAL
+        """What the update covers, as the core is told."""
+        return EndpointUpdateScope.COMPLETE if self.complete else EndpointUpdateScope.INCREMENTAL
 
 
-def parse_target(m: Message) -> Target:
-    state = word(m, "state", STATES, ServerState.READY)
-    uid = text(m, "uid")
+def parse_endpoint(message: Message) -> EndpointRecord:
+    """Decode one server of a list.
+
+    Raises:
+        DecodeError: If a field is missing or wrong.
+    """
+    state = word(message, "state", WIRE_STATES, ServerState.READY)
+    uid = text(message, "uid")
     if not uid:
         raise DecodeError("uid must not be empty")
-    # One that left may come without its address.
-    address = (
-        None
-        if state is ServerState.GONE and m.get("endpoint") is None
-        else parse_address(text(m, "endpoint"), "endpoint")
-    )
-    weight, boot_ms = number(m, "capacity_hint", 1.0), number(m, "boot_ms", 0)
-    if not 0 <= weight < 1e9:
+    address = _parse_endpoint_address(message, state)
+    weight, boot_ms = number(message, "capacity_hint", 1.0), number(message, "boot_ms", 0)
+    if not 0 <= weight < MAX_WEIGHT:
         raise DecodeError(f"capacity_hint must be a number from 0 up, not {weight!r:.60}")
-    return Target(
-        uid,
-        address,
-        text(m, "az") if m.get("az") is not None else "",
-        integer(m, "pod_group", 0),
-        state,
-        float(weight),
-        max(0.0, boot_ms / 1000),
-        text(m, "model") if m.get("model") is not None else "",
+    return EndpointRecord(
+        uid=uid,
+        address=address,
+        zone=_optional_text(message, "az"),
+        cell=integer(message, "pod_group", 0),
+        state=state,
+        weight=float(weight),
+        started_at=max(0.0, boot_ms / 1000),
+        machine_type=_optional_text(message, "model"),
     )
 
 
-def parse_update(m: Message) -> Update:
-    targets = []
-    for i, value in enumerate(array(m, "targets", [])):
+def parse_endpoint_list(message: Message) -> EndpointListUpdate:
+    """Decode a list or a change.
+
+    Raises:
+        DecodeError: If a field is missing or wrong; the text names the entry.
+    """
+    endpoints = []
+    for index, value in enumerate(array(message, "targets", [])):
         try:
-            targets.append(parse_target(as_object(value, "targets")))
-        except DecodeError as e:
-            raise DecodeError(f"targets[{i}].{e}") from None
-    return Update(integer(m, "rev", 0), flag(m, "all"), tuple(targets))
+            endpoints.append(parse_endpoint(as_object(value, "targets")))
+        except DecodeError as error:
+            raise DecodeError(f"targets[{index}].{error}") from None
+    return EndpointListUpdate(integer(message, "rev", 0), flag(message, "all"), tuple(endpoints))
+
+
+def _parse_endpoint_address(message: Message, state: ServerState) -> Address | None:
+    if state is ServerState.GONE and message.get("endpoint") is None:
+        return None
+    return parse_address(text(message, "endpoint"), "endpoint")
+
+
+def _optional_text(message: Message, name: str) -> str:
+    return text(message, name) if message.get(name) is not None else ""
--- /dev/null
+++ b/aspensaddle/discovery/watch_call.py
@@ -0,0 +1,81 @@
+"""One call to the discovery service: connect, send the request and read values until the response ends."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable
+
+import trio
+
+from aspensaddle.discovery import watch_policy
+from aspensaddle.discovery.errors import ConnectTimeoutError, DiscoveryConnectionError, WatchTimeoutError
+from aspensaddle.discovery.json_stream import JsonStreamDecoder
+from aspensaddle.support.address import Address
+from aspensaddle.support.sockets import connect
+
+READ_BYTES = 65536
+
+
+class WatchCall:
+    """One call that is in flight.
+
+    Attributes:
+        target: The path and query of the request.
+        updates_seen: How many updates the watcher had applied when the call began, or when it last gave one.
+        scope: Cancels the call.
+        answered: Set with the first complete line, or when the call ends without one.
+        followed_since: Time of the first complete line; None before it.
+        timed_out: Whether the call ended because nothing arrived in time.
+    """
+
+    def __init__(self, target: str, updates_seen: int) -> None:
+        self.target = target
+        self.updates_seen = updates_seen
+        self.scope = trio.CancelScope()
+        self.answered = trio.Event()
+        self.followed_since: float | None = None
+        self.timed_out = False
+
+    def was_followed(self) -> bool:
+        """Whether the call lived beyond its first heartbeat, which a rejected or failed one does not."""
+        if self.followed_since is None:
+            return False
+        return trio.current_time() > self.followed_since + watch_policy.HEARTBEAT_SECONDS
+
+    async def read(self, address: Address, *, is_local_agent: bool, on_value: Callable[[bytes], None]) -> None:
+        """Pass each value to `on_value` until the response is complete; a heartbeat is an empty value.
+
+        Raises:
+            DiscoveryError: If the call fails, is silent for too long or its response can't be used.
+        """
+        decoder = JsonStreamDecoder(address, self.target)
+        deadline = trio.current_time() + watch_policy.response_timeout(is_local_agent=is_local_agent)
+        stream = None
+        try:
+            stream = await _connect(address)
+            await stream.send_all(decoder.request())
+            while not decoder.complete:
+                data = await _receive(stream, deadline)
+                for value in decoder.receive(data):
+                    on_value(value)
+                    deadline = trio.current_time() + watch_policy.SILENCE_TIMEOUT_SECONDS
+        except (OSError, trio.BrokenResourceError) as error:
+            raise DiscoveryConnectionError(str(error)) from None
+        finally:
+            if stream is not None:
+                stream.socket.close()
+
+
+async def _connect(address: Address) -> trio.SocketStream:
+    with trio.move_on_after(watch_policy.CONNECT_TIMEOUT_SECONDS):
+        return await connect(address)
+    raise ConnectTimeoutError(watch_policy.CONNECT_TIMEOUT_SECONDS)
+
+
+async def _receive(stream: trio.SocketStream, deadline: float) -> bytes:
+    with trio.move_on_at(deadline):
+        return bytes(await stream.receive_some(READ_BYTES))
+    try:  # data that arrived in time but that this process read late is no silence
+        return os.read(stream.socket.fileno(), READ_BYTES)
+    except BlockingIOError:
+        raise WatchTimeoutError from None
--- /dev/null
+++ b/aspensaddle/discovery/watch_policy.py
@@ -0,0 +1,74 @@
+"""Timing of the discovery watch: timeouts, hedging, backoff and the worst-case staleness that follows from them.
+
+`docs/freshness.md` derives the worst case. Everything here is in seconds.
+"""
+
+from __future__ import annotations
+
+from random import Random
+
+HEARTBEAT_SECONDS = 2.0  # PROTOCOL: the service sends an empty line this often
+MAX_STALENESS_SECONDS = 6.0  # a change counts as known this long after a reachable service has it
+
+SILENCE_TIMEOUT_SECONDS = HEARTBEAT_SECONDS + 0.5  # without a complete line
+CONNECT_TIMEOUT_SECONDS = 0.5
+HEDGE_DELAY_SECONDS = 1.5  # a call without a complete line by then gets a second one beside it
+RESPONSE_TIMEOUT_SECONDS = 3.5  # the service may queue a call
+QUEUED_RESPONSE_SECONDS = 1.0  # longest queueing of a call that neither hangs nor is behind too many others
+START_JITTER_SECONDS = 2.0  # spread of the first calls where all balancers ask one service
+INITIAL_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 2.0
+
+# After SIGHUP, what a new address has counts as known from this time on; until then backoff stays short.
+RELOCATION_SECONDS = 4.0
+
+# Where lists are pushed, a local agent has them: it answers at once and what it has counts as known at once.
+AGENT_RESPONSE_TIMEOUT_SECONDS = 0.5
+AGENT_MAX_BACKOFF_SECONDS = 0.25
+
+# Either a watch falls silent and the next call hangs, or a call is lost just as the service returns and the one
+# after its backoff hangs.
+WORST_CASE_STALENESS_SECONDS = (
+    max(SILENCE_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS + MAX_BACKOFF_SECONDS, START_JITTER_SECONDS)
+    + HEDGE_DELAY_SECONDS
+    + CONNECT_TIMEOUT_SECONDS
+    + QUEUED_RESPONSE_SECONDS
+)
+
+_MAX_BACKOFF_DOUBLINGS = 10  # keeps the power small; the maximum is reached earlier
+
+
+def start_delay(random: Random, *, is_local_agent: bool) -> float:
+    """Return the delay of the first call. A local agent serves this balancer alone and needs no jitter."""
+    return 0.0 if is_local_agent else random.uniform(0.0, START_JITTER_SECONDS)
+
+
+def response_timeout(*, is_local_agent: bool) -> float:
+    """Return how long a call waits for its first complete line."""
+    return AGENT_RESPONSE_TIMEOUT_SECONDS if is_local_agent else RESPONSE_TIMEOUT_SECONDS
+
+
+def backoff_delay(failures: int, random: Random, *, is_local_agent: bool, is_relocating: bool) -> float:
+    """Return the delay after a call that failed: exponential backoff with jitter.
+
+    Args:
+        failures: Failed calls in a row, this one included.
+        random: Source of the jitter, which keeps balancers that failed together apart.
+        is_local_agent: Whether the service is an agent of this balancer alone.
+        is_relocating: Whether the address is new and its service may still be starting.
+    """
+    if is_local_agent:
+        limit = AGENT_MAX_BACKOFF_SECONDS
+    else:
+        limit = INITIAL_BACKOFF_SECONDS if is_relocating else MAX_BACKOFF_SECONDS
+    doublings = min(max(0, failures - 1), _MAX_BACKOFF_DOUBLINGS)
+    longest = min(limit, INITIAL_BACKOFF_SECONDS * 2**doublings)
+    return random.uniform(longest / 2, longest)
+
+
+def reconnect_delay(random: Random, *, timed_out: bool) -> float:
+    """Return the delay after a watch that was followed and ended.
+
+    Watches that were closed were closed together and need jitter; silence is noticed at many different times.
+    """
+    return 0.0 if timed_out else random.uniform(0.0, INITIAL_BACKOFF_SECONDS)
--- a/aspensaddle/frontends/line_protocol/clients.py
+++ b/aspensaddle/frontends/line_protocol/clients.py
@@ -15,7 +15,7 @@
 from aspensaddle.core.events import Outcome
 from aspensaddle.core.retry_after import shutdown_retry_after
 from aspensaddle.core.settings import Settings
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.admission import BATCH, Admission, Stage, Stay
 from aspensaddle.frontends.line_protocol.link import Broken, Link, TooLong
 from aspensaddle.frontends.line_protocol.notes import Notes, Teller
@@ -62,7 +62,7 @@
         config: LinesSettings,
         driver: Driver,
         servers: Servers,
-        fleet: Fleet,
+        fleet: EndpointRegistry,
         counters: Counters,
         log: Log,
         reserve: int = 0,
--- a/aspensaddle/frontends/line_protocol/servers.py
+++ b/aspensaddle/frontends/line_protocol/servers.py
@@ -11,7 +11,7 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.link import LINE, Broken, Link, TooLong
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.sockets import NO_DESCRIPTORS, connect
@@ -70,7 +70,7 @@
 
 
 class Servers:
-    def __init__(self, driver: Driver, fleet: Fleet, counters: Counters, sockets: int = 1024) -> None:
+    def __init__(self, driver: Driver, fleet: EndpointRegistry, counters: Counters, sockets: int = 1024) -> None:
         self.driver, self.fleet, self.counters = driver, fleet, counters
         self._probed: dict[int, Link] = {}  # connections kept for probes
         self._probing = 0  # probes that are out
--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from aspensaddle.core.driver import Driver
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.quic.directory import Directory
 from aspensaddle.frontends.quic.session import Path, Peer
 from aspensaddle.frontends.quic.settings import QuicSettings
@@ -29,7 +29,7 @@
     settings: QuicSettings
     directory: Directory
     driver: Driver
-    fleet: Fleet
+    fleet: EndpointRegistry
     counters: Counters
     log: Log
     wire: Wire
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -11,7 +11,7 @@
 from aioquic.quic.packet import QuicPacketType
 
 from aspensaddle.core.driver import Driver
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.quic.answers import Answers
 from aspensaddle.frontends.quic.context import Context, Wire
 from aspensaddle.frontends.quic.directory import Directory, Kind
@@ -44,7 +44,7 @@
         self,
         settings: QuicSettings,
         driver: Driver,
-        fleet: Fleet,
+        fleet: EndpointRegistry,
         counters: Counters,
         log: Log,
         wire: Wire,
--- a/aspensaddle/frontends/quic/front.py
+++ b/aspensaddle/frontends/quic/front.py
@@ -7,7 +7,7 @@
 import trio
 
 from aspensaddle.core.driver import Driver
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.quic.engine import Engine
 from aspensaddle.frontends.quic.packets import Malformed
 from aspensaddle.frontends.quic.session import Peer, Runner
@@ -22,7 +22,9 @@
 
 
 class Front:
-    def __init__(self, settings: QuicSettings, driver: Driver, fleet: Fleet, counters: Counters, log: Log) -> None:
+    def __init__(
+        self, settings: QuicSettings, driver: Driver, fleet: EndpointRegistry, counters: Counters, log: Log
+    ) -> None:
         self.settings, self.counters, self.log = settings, counters, log
         self._driver, self._fleet = driver, fleet
         self._woken, self._armed = trio.Event(), float("inf")
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -15,8 +15,8 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
 from aspensaddle.daemon.shutdown import Phases, shut_down
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.line_protocol.admission import Stage
 from aspensaddle.frontends.line_protocol.clients import Clients, LinesSettings
 from aspensaddle.frontends.line_protocol.servers import Servers
@@ -96,7 +96,7 @@
         services = SimpleNamespace(
             watch_endpoints=lambda: None, check_health=lambda server: None, timers_changed=lambda: None
         )
-        self.fleet, self.counters = Fleet(("surabaya", "semarang")), Counters()
+        self.fleet, self.counters = EndpointRegistry(("surabaya", "semarang")), Counters()
         self.driver = Driver(settings, 1, services)
         self.servers = Servers(self.driver, self.fleet, self.counters)
         names = [lane["name"] for lane in lanes or [LANE]]
@@ -107,11 +107,11 @@
         self.count = 0
 
     def take(self, *targets: dict[str, Any]) -> Any:
-        return self.fleet.take(parse_update({"rev": 1, "all": True, "targets": list(targets)}))
+        return self.fleet.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(targets)}))
 
     def change(self, *targets: dict[str, Any]) -> None:
-        update = parse_update({"rev": 2, "all": False, "targets": list(targets)})
-        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(targets)})
+        self.driver.update_endpoints(update.scope, self.fleet.apply(update))
 
     async def client(self) -> Peer:
         return Peer(await trio.open_tcp_stream(*self.listener.address))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,8 +11,8 @@
 from aspensaddle.core.actions import Fail, Reject, StartAttempt
 from aspensaddle.core.events import ConnectionLoadReported, Outcome, ServerLatencyReported
 from aspensaddle.core.settings import DeduplicationScope, Idempotency
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.support.json_fields import DecodeError
 
 NOW, SIZES = 1.79e9, (1, 230, 1024)
@@ -31,13 +31,13 @@
 
 class Process(Driver):  # by Unix time, as in the daemon
     def __init__(self, targets, balancers=1, seed=1, now=NOW, rules=RULES, **settings):
-        self.fleet, self.skew = Fleet(()), now - NOW
+        self.fleet, self.skew = EndpointRegistry(()), now - NOW
         super().__init__([], replace(SETTINGS, rules=rules, balancer_count=balancers, **settings), seed, now)
         self.tell(*targets, full=True)
 
     def tell(self, *targets, full=False):
-        update = parse_update({"rev": 1, "all": full, "targets": list(targets)})
-        self.update_endpoints(*self.fleet.take(update), scope=update.scope)
+        update = parse_endpoint_list({"rev": 1, "all": full, "targets": list(targets)})
+        self.update_endpoints(*self.fleet.apply(update), scope=update.scope)
 
     def ends(self, draw=None, **more):
         """Ask once, and let each attempt stand, or end as drawn: the one final action."""
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -7,6 +7,7 @@
 from contextlib import suppress
 from types import SimpleNamespace
 
+import hypothesis
 import pytest
 import trio
 import trio.testing
@@ -15,9 +16,10 @@
 from standins import SETTINGS, WAIT, Discovery, Program, Runner, Server, reset, until
 
 from aspensaddle.core.events import EndpointUpdateScope
-from aspensaddle.discovery import watcher as module
-from aspensaddle.discovery.json_stream import MOST, DiscoveryError, Values
-from aspensaddle.discovery.watcher import Discovery as Calls
+from aspensaddle.discovery import watch_policy
+from aspensaddle.discovery.errors import IncompleteValueError, ValueTooLongError
+from aspensaddle.discovery.json_stream import MAX_VALUE_BYTES, JsonValueSplitter
+from aspensaddle.discovery.watcher import DISCOVERY_PATH, EndpointWatcher
 from aspensaddle.support.counters import Counters
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -93,11 +95,11 @@
     def update_endpoints(self, scope, entries=()):
         self.lists.append((scope, entries))
 
-    def take(self, update):
+    def apply(self, update):
         if self.faults:
             self.faults -= 1
             raise RuntimeError("a fault on the way")
-        return update.rev, sorted(t.uid for t in update.targets)
+        return update.revision, sorted(t.uid for t in update.endpoints)
 
     @property
     def revs(self):
@@ -110,22 +112,22 @@
     told.faults = faults
     log = SimpleNamespace(event=lambda name, **more: events.append((name, more)))
     short = {
-        "SILENT": 0.15,
-        "CONNECT_WITHIN": 0.5,
-        "HUNG": 0.1,
-        "ANSWER_WITHIN": 0.4,
-        "HEARTBEAT": 0.05,
-        "WAIT_FIRST": 0.02,
-        "WAIT_LAST": 0.05,
+        "SILENCE_TIMEOUT_SECONDS": 0.15,
+        "CONNECT_TIMEOUT_SECONDS": 0.5,
+        "HEDGE_DELAY_SECONDS": 0.1,
+        "RESPONSE_TIMEOUT_SECONDS": 0.4,
+        "HEARTBEAT_SECONDS": 0.05,
+        "INITIAL_BACKOFF_SECONDS": 0.02,
+        "MAX_BACKOFF_SECONDS": 0.05,
         **times,
     }
 
     async def main():
         with pytest.MonkeyPatch.context() as patch, trio.fail_after(WAIT):
             for name, value in short.items():
-                patch.setattr(module, name, value)
-            calls = Calls(server.address, told, told, Counters(), log, agent=agent)
-            calls.rev = rev
+                patch.setattr(watch_policy, name, value)
+            calls = EndpointWatcher(server.address, told, told, Counters(), log, is_local_agent=agent)
+            calls.revision = rev
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(calls.watch)
                 await script(SimpleNamespace(calls=calls, told=told, events=events, server=server))
@@ -148,48 +150,53 @@
 
 def test_the_worst_case_lies_under_the_letter_s_six_seconds():
     """Silence or a lost call with its wait; then one call that hangs; then one that comes up and has its turn."""
-    m = module
-    assert m.SILENT > m.HEARTBEAT  # a sender that lives is not called silent
-    begins = max(m.SILENT, m.CONNECT_WITHIN + m.WAIT_LAST, m.START_WITHIN)
-    assert begins + m.HUNG + m.CONNECT_WITHIN + m.TURN == m.WORST < m.TOLD
-    assert m.WAIT_FIRST <= m.WAIT_LAST and m.ARRIVES_WITHIN <= 4.0
+    m = watch_policy
+    assert m.SILENCE_TIMEOUT_SECONDS > m.HEARTBEAT_SECONDS  # a sender that lives is not called silent
+    begins = max(m.SILENCE_TIMEOUT_SECONDS, m.CONNECT_TIMEOUT_SECONDS + m.MAX_BACKOFF_SECONDS, m.START_JITTER_SECONDS)
+    assert (
+        begins + m.HEDGE_DELAY_SECONDS + m.CONNECT_TIMEOUT_SECONDS + m.QUEUED_RESPONSE_SECONDS
+        == m.WORST_CASE_STALENESS_SECONDS
+        < m.MAX_STALENESS_SECONDS
+    )
+    assert m.INITIAL_BACKOFF_SECONDS <= m.MAX_BACKOFF_SECONDS and m.RELOCATION_SECONDS <= 4.0
 
 
 def test_an_agent_is_asked_again_within_the_grace_of_a_drain():
     """What it gets as discovery returns counts at once."""
-    calls = Calls(("127.0.0.1", 9), None, None, Counters(), None, agent=True)
+    calls = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, is_local_agent=True)
 
     async def main():
-        assert max(calls._back_off(n) for n in range(20)) <= module.AGENT_WAIT
+        assert max(calls._backoff_delay(n) for n in range(20)) <= watch_policy.AGENT_MAX_BACKOFF_SECONDS
 
     trio.run(main)
-    assert module.AGENT_ANSWERS_WITHIN + module.AGENT_WAIT <= 1.0
+    assert watch_policy.AGENT_RESPONSE_TIMEOUT_SECONDS + watch_policy.AGENT_MAX_BACKOFF_SECONDS <= 1.0
 
 
 def test_an_agent_that_hangs_is_asked_anew_without_another_call_beside():
     async def script(p):
         await seen(lambda: p.told.lists)
-        assert "discovery calls beside one that hangs" not in p.calls.counters
+        assert "discovery calls beside one that hangs" not in p.calls._counters
 
     play(
         Scripted(hangs, hangs, follows(listed(9, "s-0"))),
         script,
-        AGENT_ANSWERS_WITHIN=0.15,
-        ANSWER_WITHIN=WAIT,
-        HUNG=0.02,
+        AGENT_RESPONSE_TIMEOUT_SECONDS=0.15,
+        RESPONSE_TIMEOUT_SECONDS=WAIT,
+        HEDGE_DELAY_SECONDS=0.02,
         agent=True,
     )
 
 
+@hypothesis.seed(0xC10F8EFB5DE9695B4E9E370EF9FB4C44956406B1BF8219AFD2EEA1BAE0F16E768C5810CA406B57436153FA86FD0B2896)
 @given(st.integers(0, 40))
 def test_a_back_off_never_grows_beyond_its_part_of_the_sum(failures):
     async def main():
-        calls = Calls(("127.0.0.1", 9), None, None, Counters(), None, seed=failures)
-        waits = [calls._back_off(failures) for _ in range(50)]
-        assert min(waits) > 0 and max(waits) <= module.WAIT_LAST
+        calls = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, seed=failures)
+        waits = [calls._backoff_delay(failures) for _ in range(50)]
+        assert min(waits) > 0 and max(waits) <= watch_policy.MAX_BACKOFF_SECONDS
         assert len(set(waits)) == 50  # hundreds that failed together do not come as one
-        calls.move(("127.0.0.1", 10))
-        assert max(calls._back_off(failures) for _ in range(50)) <= module.WAIT_FIRST
+        calls.change_address(("127.0.0.1", 10))
+        assert max(calls._backoff_delay(failures) for _ in range(50)) <= watch_policy.INITIAL_BACKOFF_SECONDS
 
     trio.run(main)
 
@@ -197,6 +204,7 @@
 # ------------------------------------------------------------ values
 
 
+@hypothesis.seed(0x4E8C0F7375A9281DE22E7A169E9154C292A7DA2EC7B826B58721D6304BC6D1B70D36895E3C6D2E86040BEB2306C807DD)
 @given(
     st.lists(
         st.tuples(st.lists(st.text(max_size=6), max_size=4), st.sampled_from([None, 0, 1, 3, "\t"])), max_size=4
@@ -211,26 +219,26 @@
         value = {"rev": 1, "all": True, "targets": [{"uid": u + '{"['} for u in uids]}
         wanted.append(value)
         data += json.dumps(value, indent=indent).encode().replace(b"\n", end) + end + end
-    values, got, at = Values(), [], 0
+    values, got, at = JsonValueSplitter(), [], 0
     for cut in [*cuts, len(data) + 1]:
         got += values.feed(data[at : at + cut])
         at += cut
-    assert [json.loads(v) for v in got if v] == wanted and values.end() is None
+    assert [json.loads(v) for v in got if v] == wanted and values.finish() is None
 
 
-@pytest.mark.parametrize("data", [b"x" * (MOST + 1), b"{\n" + b'"a":1,\n' * (MOST // 7 + 1)])
+@pytest.mark.parametrize("data", [b"x" * (MAX_VALUE_BYTES + 1), b"{\n" + b'"a":1,\n' * (MAX_VALUE_BYTES // 7 + 1)])
 def test_a_list_is_bound_however_it_comes(data):
-    values = Values()
-    with pytest.raises(DiscoveryError, match="longer than"):
+    values = JsonValueSplitter()
+    with pytest.raises(ValueTooLongError, match="longer than"):
         for at in range(0, len(data), 65536):
             list(values.feed(data[at : at + 65536]))
 
 
 def test_a_stream_that_ends_within_a_value_has_not_given_it():
-    values = Values()
+    values = JsonValueSplitter()
     assert list(values.feed(listed(1, "s-0", indent=1)[:-5])) == []
-    with pytest.raises(DiscoveryError, match="ends within"):
-        values.end()
+    with pytest.raises(IncompleteValueError, match="ends within"):
+        values.finish()
 
 
 # ------------------------------------------------------------ silence
@@ -279,7 +287,7 @@
 def test_empty_lines_are_signs_of_life():
     async def script(p):
         await seen(lambda: p.told.lists)
-        await trio.sleep(3 * module.SILENT)
+        await trio.sleep(3 * watch_policy.SILENCE_TIMEOUT_SECONDS)
         assert len(p.server.calls) == 1
 
     play(Scripted(follows(listed(1, "s-0"))), script)
@@ -298,7 +306,7 @@
         p.server.connections[0].settimeout(WAIT)
         assert p.server.connections[0].recv(10) == b""  # the other was closed
 
-    play(Scripted(first, follows(listed(3, "s-0"))), script, ANSWER_WITHIN=WAIT)
+    play(Scripted(first, follows(listed(3, "s-0"))), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
 
 
 def test_the_slower_of_two_calls_does_not_end_the_one_that_is_followed():
@@ -313,7 +321,7 @@
         await trio.sleep(0.3)
         assert p.told.revs == [4] and len(p.server.calls) == 2 and len(p.calls._calls) == 1
 
-    play(Scripted(late, hangs), script, ANSWER_WITHIN=WAIT)
+    play(Scripted(late, hangs), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
 
 
 # ------------------------------------------------------------ answers that break
@@ -341,8 +349,8 @@
 def test_an_answer_that_is_cut_or_garbage_changes_nothing_and_is_asked_for_again(cut):
     async def script(p):
         await seen(lambda: p.told.lists)
-        assert p.told.revs == [9] and p.calls.rev == 9
-        assert p.server.calls[:2] == [f"{module.PATH}?watch=1&from=5"] * 2
+        assert p.told.revs == [9] and p.calls.revision == 9
+        assert p.server.calls[:2] == [f"{DISCOVERY_PATH}?watch=1&from=5"] * 2
 
     play(Scripted(cut, follows(listed(9, "s-0"))), script, rev=5)
 
@@ -356,7 +364,7 @@
 
     async def script(p):
         await seen(lambda: p.told.lists)
-        assert p.calls.rev == 7
+        assert p.calls.revision == 7
         p.server.go["taken"].set()
         await seen(lambda: len(p.told.lists) == 2)
         assert p.server.calls[1].endswith("from=7")
@@ -399,14 +407,14 @@
         p.server.go["change"].set()
         await seen(lambda: p.told.lists)
         p.server.go["later"].set()
-        await seen(lambda: p.calls.counters["lists passed over"])
-        assert p.told.revs == [6] and p.calls.rev == 6
+        await seen(lambda: p.calls._counters["lists passed over"])
+        assert p.told.revs == [6] and p.calls.revision == 6
 
     def change(server, connection):
         server.go["change"].wait(WAIT)
         follows(listed(6, "new", full=False))(server, connection)
 
-    play(Scripted(late, change), script, rev=4, ANSWER_WITHIN=WAIT)
+    play(Scripted(late, change), script, rev=4, RESPONSE_TIMEOUT_SECONDS=WAIT)
 
 
 def test_a_discovery_that_started_anew_counts_from_low_and_is_believed():
@@ -419,7 +427,7 @@
         await seen(lambda: p.told.lists)
         p.server.go["known"].set()
         await seen(lambda: len(p.told.lists) == 4)
-        assert p.told.revs == [40, 2, 3, 4] and p.calls.rev == 4
+        assert p.told.revs == [40, 2, 3, 4] and p.calls.revision == 4
 
     play(
         Scripted(restarts, follows(listed(2, "s-1"), listed(3, "s-2", full=False), listed(4, "s-3", full=False))),
@@ -445,13 +453,13 @@
 
     async def script(p):
         await seen(lambda: p.server.calls)
-        p.calls.move(new.address)
+        p.calls.change_address(new.address)
         p.server.go["moved"].set()
         await seen(lambda: p.told.lists)
         await trio.sleep(0.1)
         assert p.told.revs == [2]
 
-    play(Scripted(late), script, ANSWER_WITHIN=WAIT)
+    play(Scripted(late), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
     new.close()
 
 
@@ -462,10 +470,10 @@
 
     async def script(p):
         await seen(lambda: p.server.calls)
-        p.calls.move(new.address)
+        p.calls.change_address(new.address)
         await seen(lambda: (2, ["new"]) in [entries for _, entries in p.told.lists])
 
-    play(Scripted(meanwhile), script, WAIT_LAST=WAIT, ANSWER_WITHIN=WAIT)
+    play(Scripted(meanwhile), script, MAX_BACKOFF_SECONDS=WAIT, RESPONSE_TIMEOUT_SECONDS=WAIT)
     new.close()
 
 
@@ -475,10 +483,10 @@
     async def script(p):
         await seen(lambda: [name for name, _ in p.events if name == "discovery failed"])
         await trio.testing.wait_all_tasks_blocked()
-        p.calls.move(new.address)
+        p.calls.change_address(new.address)
         await seen(lambda: p.told.lists)
 
-    play(Scripted(refuses), script, WAIT_FIRST=3 * WAIT, WAIT_LAST=3 * WAIT)
+    play(Scripted(refuses), script, INITIAL_BACKOFF_SECONDS=3 * WAIT, MAX_BACKOFF_SECONDS=3 * WAIT)
     new.close()
 
 
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -53,7 +53,7 @@
     assert config.classes == {"test-run": 0, "draft-save": 1} and config.listen == ("127.0.0.1", 8000)
     assert [c.deadline for c in config.settings.classes] == [1.2, 1.8]
     assert (config.settings.limits.connect_timeout, config.settings.limits.max_attempts) == (0.25, 4)
-    assert [(t.address[1], t.weight, t.state.value) for t in config.known.targets] == [
+    assert [(t.address[1], t.weight, t.state.value) for t in config.known.endpoints] == [
         (9001, 3.0, "ready"),
         (9002, 1.0, "ready"),
         (9003, 1.0, "draining"),
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -18,8 +18,8 @@
 from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.daemon.stored import runners_update
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.store.settings import parse_store
 from aspensaddle.store.state import State
 
@@ -58,11 +58,11 @@
             )
         )
     )
-    fleet = Fleet(config.zones)
-    d = Driver(list(fleet.take(config.known)), config.settings)
+    fleet = EndpointRegistry(config.zones)
+    d = Driver(list(fleet.apply(config.known)), config.settings)
     assert len(d.b.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
     changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
-    d.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
+    d.update_endpoints(*fleet.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": changes})))
     assert len(d.b.servers) == len(fleet.addresses) == MANY
     assert fleet.uid(d.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
 
@@ -76,7 +76,7 @@
     for bucket in b.differing(a.sums()):
         b.merge(a.missing(bucket, b.marks(bucket))[0])
     update, wrong = runners_update(b.values("runner/"))
-    assert len(update.targets) == len(b.values("balancer/")) == MANY and not wrong
+    assert len(update.endpoints) == len(b.values("balancer/")) == MANY and not wrong
     nodes = {f"n{n}": f"127.0.{n // 256}.{n % 256}:7000" for n in range(MANY)}
     settings = parse_store({"enabled": True, "key": "00" * 16, "nodes": nodes})
     assert settings is not None and len(settings.nodes) == MANY
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -2,14 +2,15 @@
 
 import json
 
+import hypothesis
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.line_protocol.clients import BadOpen, parse_open
 from aspensaddle.support.files import load_json
 from aspensaddle.support.hashing import stable_hash
@@ -107,18 +108,19 @@
         parse_open(data, CLASSES, groups=True)
 
 
+@hypothesis.seed(0x12617BF2845DF403DE867614DBB33B6A63DB269B127837537C49AECAA066472A774A7EA1301F5EA9D88C75AA74F67624)
 @given(mutations)
 def test_a_list_is_read_or_refused_and_numbered(change):
     try:
-        update = parse_update(load_json(mutate(LIST, change)))
+        update = parse_endpoint_list(load_json(mutate(LIST, change)))
     except DecodeError as e:
         assert str(e)
         return
-    fleet = Fleet(("a", "b"))
-    for entry, target in zip(fleet.take(update), update.targets, strict=True):
+    fleet = EndpointRegistry(("a", "b"))
+    for entry, target in zip(fleet.apply(update), update.endpoints, strict=True):
         assert 0 <= entry.server < 2**32
         assert (fleet.find(target.uid) == entry.server) is (target.state is not ServerState.GONE) or len(
-            {t.uid for t in update.targets}
+            {t.uid for t in update.endpoints}
         ) == 1
 
 
@@ -133,7 +135,7 @@
 
 
 def test_numbers_of_runners_are_the_same_everywhere_and_never_shared(monkeypatch):
-    fleets = Fleet(()), Fleet(())
+    fleets = EndpointRegistry(()), EndpointRegistry(())
     for fleet, uids in zip(fleets, (["a", "b", "c"], ["c", "a", "b"]), strict=True):
         for uid in uids:
             fleet.number(uid)
@@ -143,20 +145,20 @@
         "aspensaddle.discovery.endpoint_registry.stable_hash",
         lambda text, bits: 7 if "#" not in text else stable_hash(text, bits),
     )
-    fleet = Fleet(())
+    fleet = EndpointRegistry(())
     assert len({fleet.number(u) for u in "abc"}) == 3 and fleet.number("a") == 7
 
 
 def test_a_model_is_told_by_its_place_among_the_kinds():
-    update = parse_update(load_json(LIST.replace(b"m2", b"fast")))
-    assert [e.machine_type for e in Fleet((), ("plain", "fast")).take(update)] == [1, 1]
-    assert [e.machine_type for e in Fleet(()).take(update)] == [-1, -1]
+    update = parse_endpoint_list(load_json(LIST.replace(b"m2", b"fast")))
+    assert [e.machine_type for e in EndpointRegistry((), ("plain", "fast")).apply(update)] == [1, 1]
+    assert [e.machine_type for e in EndpointRegistry(()).apply(update)] == [-1, -1]
 
 
 def test_a_whole_list_forgets_who_is_not_in_it():
-    fleet = Fleet(("a", "b"))
-    fleet.take(parse_update(load_json(LIST)))
-    assert parse_update(load_json(LIST)).targets[0].started_at == 1796122829.834  # the clock of the module
+    fleet = EndpointRegistry(("a", "b"))
+    fleet.apply(parse_endpoint_list(load_json(LIST)))
+    assert parse_endpoint_list(load_json(LIST)).endpoints[0].started_at == 1796122829.834  # the clock of the module
     assert fleet.find("s-5be2a07c") is not None and fleet.find("s-2") is None
-    fleet.take(parse_update({"rev": 42, "all": True, "targets": []}))
+    fleet.apply(parse_endpoint_list({"rev": 42, "all": True, "targets": []}))
     assert fleet.find("s-5be2a07c") is None and not fleet.addresses
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import ConfigSource
-from aspensaddle.discovery.watcher import Discovery as DiscoveryCalls
+from aspensaddle.discovery.watcher import EndpointWatcher
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.files import ConfigError
 
@@ -162,7 +162,7 @@
 
 def calls(address):
     driver, log = Listed(), SimpleNamespace(event=lambda *_, **more: None)
-    return driver, DiscoveryCalls(address, driver, SimpleNamespace(take=lambda update: ()), Counters(), log)
+    return driver, EndpointWatcher(address, driver, SimpleNamespace(apply=lambda update: ()), Counters(), log)
 
 
 def test_a_new_address_that_refuses_at_first_is_asked_again_and_no_back_off_is_told():
@@ -175,7 +175,7 @@
                 nursery.start_soon(discovery.watch)
                 while not driver.scopes:
                     await trio.sleep(0.01)
-                discovery.move(new.address)
+                discovery.change_address(new.address)
                 while not new.watches:
                     await trio.sleep(0.01)
                 assert old.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -151,7 +151,7 @@
     update, wrong = runners_update(
         {"runner/s-1": json.dumps(good), "runner/s-2": json.dumps(good), "runner/s-3": "{"}
     )
-    assert update.full and [t.uid for t in update.targets] == ["s-1"] and len(wrong) == 2
+    assert update.complete and [t.uid for t in update.endpoints] == ["s-1"] and len(wrong) == 2
 
 
 @pytest.mark.parametrize(
