--- a/aspensaddle/__main__.py
+++ b/aspensaddle/__main__.py
@@ -1,4 +1,7 @@
-"""The real balancer: reads its configuration and serves until it is told to stop."""
+"""Entry point of the balancer process: reads the configuration and serves until SIGTERM.
+
+Exits with 2 if the configuration can't be used or a socket can't be bound.
+"""
 
 from __future__ import annotations
 
@@ -9,60 +12,74 @@
 from pathlib import Path
 
 if __name__ == "__main__":
-    # Guards against a SIGHUP before its receiver is in place: it waits instead of ending the process. Before the
-    # imports, which take most of the start, and one of which (trio) runs ldconfig with all signals blocked.
+    # A SIGHUP before its receiver is in place must wait instead of ending the process. Blocked before the imports,
+    # which take most of the start, and one of which (trio) runs ldconfig with all signals blocked.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 import trio
 
 from aspensaddle.daemon.config import Config, ConfigSource
-from aspensaddle.daemon.service import serve
+from aspensaddle.daemon.process import serve
 from aspensaddle.frontends.quic.settings import QuicSettings, load_quic
 from aspensaddle.store.settings import StoreSettings, load_store
 from aspensaddle.support.files import ConfigError
 from aspensaddle.support.log import Log
 
-QUIC_FILE = "deploy/quic.toml"  # ASPENSADDLE_QUIC names another
-STORE_FILE = "deploy/store.toml"  # ASPENSADDLE_STORE names another
+DEFAULT_QUIC_FILE = "deploy/quic.toml"
+DEFAULT_STORE_FILE = "deploy/store.toml"
+QUIC_FILE_VARIABLE = "ASPENSADDLE_QUIC"
+STORE_FILE_VARIABLE = "ASPENSADDLE_STORE"
+
+EXIT_CONFIG_ERROR = 2
+# Few reference cycles arise, and frequent collections only cost CPU.
+GC_THRESHOLDS = (50_000, 20, 50)
+
 
+def _quic_file() -> Path:
+    return Path(os.environ.get(QUIC_FILE_VARIABLE, DEFAULT_QUIC_FILE))
 
-def quic_file() -> Path:
-    return Path(os.environ.get("ASPENSADDLE_QUIC", QUIC_FILE))
+
+def _store_file() -> Path:
+    return Path(os.environ.get(STORE_FILE_VARIABLE, DEFAULT_STORE_FILE))
 
 
 def _load(source: ConfigSource) -> tuple[Config, QuicSettings | None, StoreSettings | None]:
     config = source.read()
-    quic = load_quic(quic_file(), config.classes)
-    store = load_store(Path(os.environ.get("ASPENSADDLE_STORE", STORE_FILE)))
+    quic = load_quic(_quic_file(), config.classes)
+    store = load_store(_store_file())
     if store is not None and config.name not in store.nodes:
-        raise ConfigError(f"{STORE_FILE}: nodes must name this daemon, {config.name}")
+        raise ConfigError(f"{DEFAULT_STORE_FILE}: nodes must name this daemon, {config.name}")
     return config, quic, store
 
 
 def main() -> int:
+    """Run the balancer and return the exit status."""
     source = ConfigSource()
     try:
         config, quic, store = _load(source)
-    except ConfigError as e:
-        print(f"aspensaddle: {e}", file=sys.stderr)
-        return 2
+    except ConfigError as error:
+        print(f"aspensaddle: {error}", file=sys.stderr)
+        return EXIT_CONFIG_ERROR
     gc.freeze()
-    gc.set_threshold(50_000, 20, 50)  # few cycles arise; frequent passes only cost CPU
+    gc.set_threshold(*GC_THRESHOLDS)
     log = Log(config.name)
     try:
-        trio.run(serve, source, config, quic, store, log, quic_file())
+        trio.run(serve, source, config, quic, store, log, _quic_file())
         return 0
-    except OSError as e:
-        print(f"aspensaddle: listen: {e.strerror or e}", file=sys.stderr)
-        return 2
+    except OSError as error:
+        return _report_listen_error(error.strerror or error)
     except BaseExceptionGroup as group:
-        if (error := group.subgroup(OSError)) is None:
+        if (errors := group.subgroup(OSError)) is None:
             raise
-        print(f"aspensaddle: listen: {error.exceptions[0]}", file=sys.stderr)
-        return 2
+        return _report_listen_error(errors.exceptions[0])
     finally:
         log.close()
 
 
+def _report_listen_error(reason: object) -> int:
+    print(f"aspensaddle: listen: {reason}", file=sys.stderr)
+    return EXIT_CONFIG_ERROR
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- a/aspensaddle/daemon/__init__.py
+++ b/aspensaddle/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One process: its configuration, its wiring, new configurations while it runs."""
+"""One balancer process: configuration, wiring of its parts, reload and graceful shutdown."""
--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a balancer, decoded once into typed values."""
+"""The configuration that the platform gives a balancer, decoded once into typed values."""
 
 from __future__ import annotations
 
@@ -15,9 +15,22 @@
 from aspensaddle.support.hashing import stable_hash
 from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, integer, number, obj, text
 
+MIN_SOCKETS = 64
+SEED_BITS = 53
+CONFIG_VARIABLE = "LB_CONFIG"
+OVERRIDABLE_FIELDS = ("name", "listen", "discovery")  # each by the variable LB_ and its name in capitals
+
 
 @dataclass(slots=True)
-class LimitsOfProcess:
+class ProcessLimits:
+    """What the platform allows the process.
+
+    Attributes:
+        cores: CPU cores.
+        memory_mb: Memory in megabytes.
+        sockets: Open sockets.
+    """
+
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
@@ -25,21 +38,36 @@
 
 @dataclass(slots=True)
 class Config:
+    """The configuration of one balancer.
+
+    Attributes:
+        name: The balancer's name.
+        listen: Where clients connect.
+        discovery: The discovery service; None if the known endpoint list is the only one.
+        seed: Seed of everything that is drawn.
+        limits: What the platform allows the process.
+        known: The endpoint list known at the start.
+        settings: The settings of the core.
+        classes: The number of each request class by its name.
+        tenants: The number of each tenant by its name.
+        zones: The names of the zones, in the order of their indexes.
+    """
+
     name: str
     listen: Address
     discovery: Address | None
     seed: int
-    limits: LimitsOfProcess
+    limits: ProcessLimits
     known: EndpointListUpdate
     settings: Settings
-    classes: dict[str, int]  # the number of a class by its name
-    tenants: dict[str, int]  # and of a tenant
+    classes: dict[str, int]
+    tenants: dict[str, int]
     zones: tuple[str, ...]
 
 
 @dataclass(slots=True)
-class _Named:
-    """The settings, and the numbers or the order of what they name."""
+class _NamedSettings:
+    """The settings, and the numbers or the order of the names in them."""
 
     settings: Settings
     classes: dict[str, int]
@@ -47,72 +75,98 @@
     zones: tuple[str, ...]
 
 
-def _read_settings(raw: Message) -> _Named:
+def _parse_named_settings(message: Message) -> _NamedSettings:
     try:
-        settings = parse_settings(raw)
-        lanes = [as_object(lane, "lanes") for lane in array(raw, "lanes")]
-        tenants = [as_object(tenant, "tenants") for tenant in array(raw, "tenants", [])]
-        return _Named(
-            settings,
-            {text(lane, "name"): i for i, lane in enumerate(lanes)},
-            {text(tenant, "name"): i for i, tenant in enumerate(tenants)},
-            tuple(str(z) for z in array(raw, "failure-domains", [])),
+        return _NamedSettings(
+            parse_settings(message),
+            classes=_numbers_by_name([as_object(lane, "lanes") for lane in array(message, "lanes")]),
+            tenants=_numbers_by_name([as_object(tenant, "tenants") for tenant in array(message, "tenants", [])]),
+            zones=tuple(str(zone) for zone in array(message, "failure-domains", [])),
         )
-    except (DecodeError, ValueError) as e:
-        raise DecodeError(f"settings.{e}") from None
+    except (DecodeError, ValueError) as error:
+        raise DecodeError(f"settings.{error}") from None
+
+
+def _numbers_by_name(messages: list[Message]) -> dict[str, int]:
+    return {text(message, "name"): number for number, message in enumerate(messages)}
 
 
-def _read_limits(m: Message) -> LimitsOfProcess:
-    limits = LimitsOfProcess(number(m, "cores", 1.0), integer(m, "memory_mb", 192), integer(m, "sockets", 1024))
-    if limits.sockets < 64:
-        raise DecodeError(f"sockets must be 64 at least, not {limits.sockets}")
+def _parse_limits(message: Message) -> ProcessLimits:
+    limits = ProcessLimits(
+        cores=number(message, "cores", 1.0),
+        memory_mb=integer(message, "memory_mb", 192),
+        sockets=integer(message, "sockets", 1024),
+    )
+    if limits.sockets < MIN_SOCKETS:
+        raise DecodeError(f"sockets must be {MIN_SOCKETS} at least, not {limits.sockets}")
     return limits
 
 
-def with_settings(config: Config, raw: Message) -> Config:
-    """The same configuration with other settings."""
-    new = _read_settings(raw)
+def _parse_config_limits(message: Message) -> ProcessLimits:
+    try:
+        return _parse_limits(obj(message, "limits", {}))
+    except DecodeError as error:
+        raise DecodeError(f"limits.{error}") from None
+
+
+def _parse_known_endpoints(message: Message) -> EndpointListUpdate:
+    try:
+        return parse_endpoint_list(obj(message, "known", {}))
+    except DecodeError as error:
+        raise DecodeError(f"known.{error}") from None
+
+
+def _parse_discovery_address(message: Message, settings: Settings) -> Address | None:
+    if message.get("discovery") is None and not settings.polls_discovery:
+        return None
+    return parse_address(text(message, "discovery"), "discovery")
+
+
+def with_settings(config: Config, message: Message) -> Config:
+    """Return the configuration with other settings, given as the platform writes them.
+
+    Raises:
+        DecodeError: If a setting is missing or wrong.
+    """
+    named = _parse_named_settings(message)
     settings = replace(
-        new.settings, core_speeds=config.settings.core_speeds, session_group_cost=config.settings.session_group_cost
+        named.settings,
+        core_speeds=config.settings.core_speeds,
+        session_group_cost=config.settings.session_group_cost,
     )
-    return replace(config, settings=settings, classes=new.classes, tenants=new.tenants, zones=new.zones)
+    return replace(config, settings=settings, classes=named.classes, tenants=named.tenants, zones=named.zones)
 
 
-def parse_config(m: Message) -> Config:
-    named = _read_settings(obj(m, "settings"))
-    settings = named.settings
-    where = "limits."
-    try:
-        limits = _read_limits(obj(m, "limits", {}))
-        where = "known."
-        known = parse_endpoint_list(obj(m, "known", {}))
-    except DecodeError as e:
-        raise DecodeError(f"{where}{e}") from None
-    if m.get("discovery") is None and not settings.polls_discovery:
-        discovery = None  # the list is the one that is known
-    else:
-        discovery = parse_address(text(m, "discovery"), "discovery")
+def parse_config(message: Message) -> Config:
+    """Decode a configuration.
+
+    Raises:
+        DecodeError: If a field is missing or wrong; the text names it.
+    """
+    named = _parse_named_settings(obj(message, "settings"))
+    limits = _parse_config_limits(message)
+    known = _parse_known_endpoints(message)
+    discovery = _parse_discovery_address(message, named.settings)
     return Config(
-        text(m, "name"),
-        parse_address(text(m, "listen"), "listen"),
-        discovery,
-        stable_hash(str(m.get("seed", "")), 53),
-        limits,
-        known,
-        settings,
-        named.classes,
-        named.tenants,
-        named.zones,
+        name=text(message, "name"),
+        listen=parse_address(text(message, "listen"), "listen"),
+        discovery=discovery,
+        seed=stable_hash(str(message.get("seed", "")), SEED_BITS),
+        limits=limits,
+        known=known,
+        settings=named.settings,
+        classes=named.classes,
+        tenants=named.tenants,
+        zones=named.zones,
     )
 
 
 class ConfigSource:
-    """The file that `LB_CONFIG` names, read as often as asked, and the variables that win over it.
+    """The file that `LB_CONFIG` names, and the variables that take precedence over it.
 
     The platform's variables repeat the file as it is at the start, and a process can't be given others later.
-    One that said the same as the file overrides nothing: what the file says by now holds. Guards against a
-    reload that never moves to the address in the new file. One that differed from the file at the start is an
-    operator's own word and wins for good.
+    A variable that equals the file at the first read therefore overrides nothing, so that a reload can change the
+    field; one that differs is an operator's override and takes precedence for good.
     """
 
     def __init__(self, environ: Mapping[str, str] = os.environ) -> None:
@@ -120,26 +174,31 @@
         self._overrides: dict[str, str] | None = None
 
     def read(self) -> Config:
-        path = self._environ.get("LB_CONFIG")
+        """Read the file and decode it.
+
+        Raises:
+            ConfigError: If it can't be read or used.
+        """
+        path = self._environ.get(CONFIG_VARIABLE)
         if not path:
-            raise ConfigError("LB_CONFIG is not set: it names the configuration file")
+            raise ConfigError(f"{CONFIG_VARIABLE} is not set: it names the configuration file")
         try:
-            with open(path, "rb") as file:
-                m = load_json(file.read())
-            overrides = self._overrides
-            if overrides is None:
-                said = {n: self._environ.get(f"LB_{n.upper()}") for n in ("name", "listen", "discovery")}
-                overrides = {n: value for n, value in said.items() if value and value != m.get(n)}
-            config = parse_config({**m, **overrides})
+            message = _read_json_file(path)
+            overrides = self._find_overrides(message) if self._overrides is None else self._overrides
+            config = parse_config({**message, **overrides})
             config = replace(config, settings=load_machines(self._environ).into(config.settings))
-        except OSError as e:
-            raise ConfigError(f"LB_CONFIG: {path}: {e.strerror}") from None
-        except DecodeError as e:
-            raise ConfigError(f"{path}: {e}") from None
+        except OSError as error:
+            raise ConfigError(f"{CONFIG_VARIABLE}: {path}: {error.strerror}") from None
+        except DecodeError as error:
+            raise ConfigError(f"{path}: {error}") from None
         self._overrides = overrides
         return config
 
+    def _find_overrides(self, message: Message) -> dict[str, str]:
+        variables = {name: self._environ.get(f"LB_{name.upper()}") for name in OVERRIDABLE_FIELDS}
+        return {name: value for name, value in variables.items() if value and value != message.get(name)}
+
 
-def load_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration as at a start."""
-    return ConfigSource(environ).read()
+def _read_json_file(path: str) -> Message:
+    with open(path, "rb") as file:
+        return load_json(file.read())
--- /dev/null
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -0,0 +1,138 @@
+"""Graceful shutdown after SIGTERM, in phases whose ends follow from the settings (`docs/shutdown.md`).
+
+Requests in flight are answered, connections are migrated, the accept queue is drained, then everything is closed.
+Work that is late in a phase is cut short by an answer; no connection ends without one.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import trio
+
+from aspensaddle.core.settings import Settings
+from aspensaddle.frontends.line_protocol.admission import Stage
+from aspensaddle.frontends.line_protocol.clients import Clients
+from aspensaddle.support.sockets import Listener
+
+# PROTOCOL, "Figures": the process is killed no sooner than the longest deadline, up to a limit, and a margin later.
+MAX_DEADLINE_SECONDS = 3.0
+KILL_MARGIN_SECONDS = 0.7
+NEW_CONNECTIONS_SECONDS = 0.4  # new connections keep arriving for this long after SIGTERM
+
+SLACK_SECONDS = 0.05  # after the last new connection, and before the kill for the process to exit
+LINGER_SECONDS = 0.25  # for clients to read their last answer
+MIGRATION_SPREAD_SECONDS = 0.6  # migrated clients reconnect at once: they are spread over this time
+STEP_SECONDS = 0.02  # between two looks at what is left to do
+
+
+@dataclass(frozen=True, slots=True)
+class ShutdownPhases:
+    """When each phase ends, in seconds after SIGTERM.
+
+    Attributes:
+        newcomers: New requests are rejected; from here on established connections are migrated.
+        answered: Every accepted request is answered and every established connection migrated.
+        emptied: The accept queue is drained.
+        closed: No client is waited for any more.
+    """
+
+    newcomers: float
+    answered: float
+    emptied: float
+    closed: float
+
+    @classmethod
+    def from_settings(cls, settings: Settings, event_loop_lag: float) -> ShutdownPhases:
+        """Compute the phases.
+
+        Args:
+            settings: The settings in force, for their longest deadline.
+            event_loop_lag: Recent lag in seconds, which each step of the shutdown may find again.
+        """
+        longest_deadline = max(request_class.deadline for request_class in settings.classes)
+        killed = min(MAX_DEADLINE_SECONDS, longest_deadline) + KILL_MARGIN_SECONDS
+        closed = max(killed / 2, killed - SLACK_SECONDS - min(event_loop_lag, killed / 4))
+        answered = closed - min(LINGER_SECONDS, killed / 4)
+        newcomers = min(NEW_CONNECTIONS_SECONDS + SLACK_SECONDS, answered / 2)
+        return cls(newcomers, answered, (answered + closed) / 2, closed)
+
+
+class GracefulShutdown:
+    """Runs the phases; it goes on as soon as nothing is left to do in one."""
+
+    def __init__(self, clients: Clients, listener: Listener, phases: ShutdownPhases, nursery: trio.Nursery) -> None:
+        self._clients = clients
+        self._listener = listener
+        self._phases = phases
+        self._nursery = nursery
+        self._start = 0.0
+
+    async def run(self) -> None:
+        """Shut the front end down, beginning now."""
+        self._start = trio.current_time()
+        await self._reject_new_requests()
+        await self._migrate_connections()
+        self._answer_the_rest()
+        await self._drain_accept_queue()
+        self._listener.close()
+        await self._close_connections()
+
+    def _time_left(self, phase_end: float) -> float:
+        return self._start + phase_end - trio.current_time()
+
+    async def _sleep_until(self, phase_end: float, at_most: float = float("inf")) -> None:
+        await trio.sleep(min(at_most, max(0.0, self._time_left(phase_end))))
+
+    async def _reject_new_requests(self) -> None:
+        """Reject new requests. Accepted ones go on; no attempt begins too late for its answer to come."""
+        self._clients.newcomers = False
+        self._clients.driver.stop_attempts_after(self._time_left(self._phases.answered))
+        await self._sleep_until(self._phases.newcomers)
+
+    async def _migrate_connections(self) -> None:
+        """Migrate established connections, spread evenly; those established from now on migrate at once."""
+        self._clients.moving = True
+        begun = trio.current_time()
+        time_left = self._time_left(self._phases.answered)
+        span = max(STEP_SECONDS, min(MIGRATION_SPREAD_SECONDS, time_left - 2 * STEP_SECONDS))
+        connections = list(self._clients.standing.values())
+        migrated = 0
+        while self._clients.left and self._time_left(self._phases.answered) > 0:
+            progress = (trio.current_time() - begun) / span
+            due = min(len(connections), 1 + int(len(connections) * progress))
+            for connection in connections[migrated:due]:
+                connection.move()
+            migrated = due
+            await self._sleep_until(self._phases.answered, at_most=STEP_SECONDS)
+
+    def _answer_the_rest(self) -> None:
+        """Migrate and answer at once whatever is left."""
+        for connection in list(self._clients.standing.values()):
+            connection.move()
+        self._clients.give_up_all()
+        self._clients.admission.turn_out_all()
+
+    async def _drain_accept_queue(self) -> None:
+        """Accept what the kernel has queued, so that it is answered like all others."""
+        while True:
+            before = self._clients.counters["connections"]
+            has_room = self._clients.accept(self._listener, self._nursery)
+            is_empty = has_room and self._clients.counters["connections"] == before
+            if is_empty or self._time_left(self._phases.emptied) <= 0:
+                return
+            await trio.sleep(0 if has_room else STEP_SECONDS)
+
+    async def _close_connections(self) -> None:
+        """Let clients read their answer, then cut what is still open."""
+        admission = self._clients.admission
+        while admission.open and self._time_left(self._phases.closed) > 0:
+            await self._sleep_until(self._phases.closed, at_most=STEP_SECONDS)
+        admission.cut_all()
+        while admission.count(Stage.LINGERING):
+            await trio.sleep(0)
+
+
+async def shut_down(clients: Clients, listener: Listener, phases: ShutdownPhases, nursery: trio.Nursery) -> None:
+    """Shut the front end down, beginning now. Connections that are still accepted are served in `nursery`."""
+    await GracefulShutdown(clients, listener, phases, nursery).run()
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -1,8 +1,7 @@
-"""New configurations while the program runs.
+"""Reload of the configuration at SIGHUP, while the program runs.
 
-At SIGHUP the configuration and the operator's files are read and validated whole beside those in force. If one
-can't be used, nothing changes, of the others neither. What a running process can't change keeps its old value and is
-named in the log.
+The configuration and the operator's files are read and validated completely before any of them is applied; if one is
+invalid, nothing changes. What a running process can't change keeps its old value and is named in the log.
 """
 
 from __future__ import annotations
@@ -15,68 +14,101 @@
 from aspensaddle.support.files import ConfigError
 from aspensaddle.support.log import Log
 
-# What the process, or the numbers of all that it has in hand, are made of.
-FIXED = ("name", "listen", "seed", "zones")
+# Fields on which the process, or the numbers of everything in flight, are built.
+FIXED_FIELDS = ("name", "listen", "seed", "zones")
 FIXED_SETTINGS = ("zone", "zone_count", "machine_types", "balancer_index", "polls_discovery", "pass_through")
+CHANGEABLE_FIELDS = ("discovery", "limits", "known", "settings")
 
+# Applies a validated operator's file and returns the names of the fields that need a restart.
+ApplyFile = Callable[[], list[str]]
+# Reads an operator's file for the configuration that will be in force. Changes nothing; raises `ConfigError`.
+PrepareFile = Callable[[Config], ApplyFile]
 
-# An operator's file read anew, for the configuration that will be in force; what puts it in force returns the names
-# of what needs a restart. Raises `ConfigError`, and changes nothing by itself.
-Prepare = Callable[[Config], Callable[[], list[str]]]
 
+class ConfigReloader:
+    """Owns the configuration in force.
 
-class Reload:
-    """Owns the configuration in force; `swap` puts another into the parts that use it."""
+    Attributes:
+        config: The configuration in force.
+    """
 
     def __init__(
         self,
         source: ConfigSource,
         config: Config,
-        swap: Callable[[Config], None],
+        apply: Callable[[Config], None],
         counters: Counters,
         log: Log,
-        stored: Callable[[Config], Config] | None = None,
-        files: tuple[Prepare, ...] = (),
+        with_stored_settings: Callable[[Config], Config] | None = None,
+        operator_files: tuple[PrepareFile, ...] = (),
     ) -> None:
-        self._files = files
-        self._source, self.config, self._swap = source, config, swap
-        self._counters, self._log, self._stored = counters, log, stored
+        """Create a reloader.
 
-    def run(self) -> None:
+        Args:
+            source: Where configurations are read.
+            config: The configuration in force.
+            apply: Puts a configuration into force in the parts that use it.
+            counters: Counters of the process.
+            log: Log of the process.
+            with_stored_settings: Replaces the settings by those in the store; None without a store.
+            operator_files: Further files that are reloaded with the configuration.
+        """
+        self.config = config
+        self._source = source
+        self._apply = apply
+        self._counters = counters
+        self._log = log
+        self._with_stored_settings = with_stored_settings
+        self._operator_files = operator_files
+
+    def reload(self) -> None:
+        """Read everything anew and apply it, or log why it is rejected."""
         self._counters.add("reloads")
         try:
-            config, kept = self._fit(self._read())
-            prepared = [prepare(config) for prepare in self._files]
-        except ConfigError as e:
+            config, needs_restart = self._keep_fixed_fields(self._read())
+            prepared = [prepare(config) for prepare in self._operator_files]
+        except ConfigError as error:
             self._counters.add("reloads refused")
-            self._log.event("reload refused", why=str(e))
+            self._log.event("reload refused", why=str(error))
             return
-        changed = [
-            n for n in ("discovery", "limits", "known", "settings") if getattr(config, n) != getattr(self.config, n)
-        ]
-        self._swap(config)
+        changed = _differing_fields(config, self.config, CHANGEABLE_FIELDS)
+        self._apply(config)
         self.config = config
-        for put_in_force in prepared:
-            kept += put_in_force()
-        self._log.event("reloaded", changed=changed, needs_restart=kept, discovery=config.discovery)
+        for apply_file in prepared:
+            needs_restart += apply_file()
+        self._log.event("reloaded", changed=changed, needs_restart=needs_restart, discovery=config.discovery)
 
     def _read(self) -> Config:
         config = self._source.read()
-        return config if self._stored is None else self._stored(config)
+        return config if self._with_stored_settings is None else self._with_stored_settings(config)
+
+    def _keep_fixed_fields(self, new: Config) -> tuple[Config, list[str]]:
+        """Return the new configuration as far as it can be applied, and the names of the fields that need a restart.
 
-    def _fit(self, new: Config) -> tuple[Config, list[str]]:
-        """The new configuration as far as it can be put in force, and the fields that need a restart."""
+        Raises:
+            ConfigError: If a request class of the old configuration is missing or has another number.
+        """
         old = self.config
-        # Requests in hand, and the QUIC front, know a class by its number.
-        if list(new.classes.items())[: len(old.classes)] != list(old.classes.items()):
+        self._check_request_classes(new)
+        needs_restart = _differing_fields(new, old, FIXED_FIELDS)
+        needs_restart += [
+            f"settings.{name}" for name in _differing_fields(new.settings, old.settings, FIXED_SETTINGS)
+        ]
+        settings = replace(new.settings, **{name: getattr(old.settings, name) for name in FIXED_SETTINGS})
+        kept = replace(new, settings=settings, **{name: getattr(old, name) for name in FIXED_FIELDS})
+        if (kept.discovery is None) != (old.discovery is None):
+            needs_restart.append("discovery")
+            kept = replace(kept, discovery=old.discovery)
+        return kept, needs_restart
+
+    def _check_request_classes(self, new: Config) -> None:
+        # Requests in flight, and the QUIC front end, refer to a class by its number.
+        classes = self.config.classes
+        if list(new.classes.items())[: len(classes)] != list(classes.items()):
             raise ConfigError(
-                f"settings.lanes: must begin with {', '.join(old.classes)}; only a restart can remove or reorder them"
+                f"settings.lanes: must begin with {', '.join(classes)}; only a restart can remove or reorder them"
             )
-        kept = [n for n in FIXED if getattr(new, n) != getattr(old, n)]
-        kept += [f"settings.{n}" for n in FIXED_SETTINGS if getattr(new.settings, n) != getattr(old.settings, n)]
-        settings = replace(new.settings, **{n: getattr(old.settings, n) for n in FIXED_SETTINGS})
-        new = replace(new, settings=settings, **{n: getattr(old, n) for n in FIXED})
-        if (new.discovery is None) != (old.discovery is None):
-            kept.append("discovery")
-            new = replace(new, discovery=old.discovery)
-        return new, kept
+
+
+def _differing_fields(new: object, old: object, names: tuple[str, ...]) -> list[str]:
+    return [name for name in names if getattr(new, name) != getattr(old, name)]
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -1,10 +1,9 @@
-"""The services of one process: wires the parts up and keeps them running until it is told to stop."""
+"""Wires the parts of one process together and runs them until it is told to stop."""
 
 from __future__ import annotations
 
 import signal
-import traceback
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator
 from dataclasses import asdict, replace
 from functools import partial
 from pathlib import Path
@@ -15,8 +14,9 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import Config, ConfigSource
-from aspensaddle.daemon.reload import Reload
-from aspensaddle.daemon.shutdown import Phases, shut_down
+from aspensaddle.daemon.graceful_shutdown import ShutdownPhases, shut_down
+from aspensaddle.daemon.reload import ApplyFile, ConfigReloader
+from aspensaddle.daemon.supervisor import Supervisor
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.watcher import EndpointWatcher
 from aspensaddle.frontends.line_protocol.clients import Clients, LinesSettings
@@ -27,251 +27,243 @@
 from aspensaddle.support.sockets import Listener
 
 if TYPE_CHECKING:
-    from aspensaddle.daemon.stored import StoreList
+    from aspensaddle.daemon.store_integration import StoredEndpointSource
     from aspensaddle.frontends.quic.front import Front
     from aspensaddle.store.replica import Replica
-    from aspensaddle.store.settings import StoreSettings
 
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
+QUIC_OWN_SOCKETS = 2  # that the QUIC front end holds beside those to servers
 
 
 class Daemon:
-    """The services of one process for its balancer."""
+    """One balancer process. It provides the driver with its services (`ProcessServices`).
+
+    Heavy libraries are imported only where an operator's file turns their part on.
+    """
 
     def __init__(
         self,
         source: ConfigSource,
         config: Config,
-        quic: QuicSettings | None,
+        quic_settings: QuicSettings | None,
         log: Log,
         counters: Counters,
         replica: Replica | None = None,
         quic_file: Path | None = None,
     ) -> None:
+        self._config = config
+        self._log = log
+        self._counters = counters
         self._quic_file = quic_file
-        self.config, self.log, self.counters = config, log, counters
-        self.fleet = EndpointRegistry(config.zones, config.settings.machine_types)
-        self.driver = Driver(config.settings, config.seed, self)
-        self.servers = Servers(self.driver, self.fleet, self.counters, config.limits.sockets)
-        self.list: EndpointWatcher | StoreList | None = None
+        self._supervisor = Supervisor(counters, log)
+        self._registry = EndpointRegistry(config.zones, config.settings.machine_types)
+        self._driver = Driver(config.settings, config.seed, self)
+        self._servers = Servers(self._driver, self._registry, counters, config.limits.sockets)
+        self._endpoint_source = self._create_endpoint_source(replica)
+        self._clients = self._create_clients(quic_settings)
+        self._quic = self._create_quic_frontend(quic_settings)
+        self._reloader = self._create_reloader(source, replica)
+        self._timers_changed = trio.Event()
+        self._nursery: trio.Nursery | None = None
+
+    # ------------------------------------------------------------ wiring
+
+    def _create_endpoint_source(self, replica: Replica | None) -> EndpointWatcher | StoredEndpointSource | None:
+        config = self._config
         if replica is not None and replica.settings.runners:
-            from aspensaddle.daemon.stored import StoreList
-
-            self.list = StoreList(replica, self.driver, self.fleet, self.counters, log)
-        elif config.discovery is not None:
-            self.list = EndpointWatcher(
-                config.discovery,
-                self.driver,
-                self.fleet,
-                self.counters,
-                log,
-                config.seed,
-                is_local_agent=not config.settings.polls_discovery,
-            )
-            self.list.revision = config.known.revision
-        self.clients = Clients(
-            _lines(config),
-            self.driver,
-            self.servers,
-            self.fleet,
-            self.counters,
-            log,
-            reserve=0 if quic is None else quic.most_sockets + 2,
+            from aspensaddle.daemon.store_integration import StoredEndpointSource
+
+            return StoredEndpointSource(replica, self._driver, self._registry, self._counters, self._log)
+        if config.discovery is None:
+            return None
+        watcher = EndpointWatcher(
+            config.discovery,
+            self._driver,
+            self._registry,
+            self._counters,
+            self._log,
+            config.seed,
+            is_local_agent=not config.settings.polls_discovery,
         )
-        self.quic: Front | None = None
-        if quic is not None:
-            # Only where it is on: its libraries are heavy for a platform that does without.
-            from aspensaddle.frontends.quic.front import Front
+        watcher.revision = config.known.revision
+        return watcher
+
+    def _create_clients(self, quic_settings: QuicSettings | None) -> Clients:
+        reserved_sockets = 0 if quic_settings is None else quic_settings.most_sockets + QUIC_OWN_SOCKETS
+        return Clients(
+            _line_protocol_settings(self._config),
+            self._driver,
+            self._servers,
+            self._registry,
+            self._counters,
+            self._log,
+            reserve=reserved_sockets,
+        )
+
+    def _create_quic_frontend(self, quic_settings: QuicSettings | None) -> Front | None:
+        if quic_settings is None:
+            return None
+        from aspensaddle.frontends.quic.front import Front
 
-            self.quic = Front(quic, self.driver, self.fleet, self.counters, log)
-        stored = None
+        return Front(quic_settings, self._driver, self._registry, self._counters, self._log)
+
+    def _create_reloader(self, source: ConfigSource, replica: Replica | None) -> ConfigReloader:
+        stored_settings = None
         if replica is not None:
-            from aspensaddle.daemon.stored import with_stored
+            from aspensaddle.daemon.store_integration import with_stored_settings
+
+            stored_settings = partial(with_stored_settings, replica, log=self._log)
+        return ConfigReloader(
+            source,
+            self._config,
+            self._apply_config,
+            self._counters,
+            self._log,
+            stored_settings,
+            (self._prepare_quic_file,),
+        )
 
-            stored = partial(with_stored, replica, log=log)
-        self.reload = Reload(source, config, self._swap, counters, log, stored, (self._prepare_quic,))
-        self._timer = trio.Event()
-        self._nursery: trio.Nursery | None = None
+    # ------------------------------------------------------------ running
 
     async def run(self) -> None:
+        """Run until SIGTERM or SIGINT, and shut down."""
         with trio.open_signal_receiver(*SIGNALS) as signals:
-            # Before anybody is answered; what came while the program started is received now.
+            # Before any client is answered. A SIGHUP that came during the start is received now.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
-            await self._run(signals)
-
-    async def _run(self, signals: AsyncIterator[int]) -> None:
-        listener = Listener(self.config.listen)
-        if self.quic is not None:
-            self.quic.bind()
-        async with trio.open_nursery() as self._nursery:
-            self.driver.start(self.fleet.apply(self.config.known))
-            if isinstance(self.list, EndpointWatcher):
-                # Lists that are pushed come to an agent on this machine, and from there to whoever watches it. What
-                # it has counts as told, so it is watched from the first moment; asking it costs nothing.
-                self._call(self.list.start)
-            self._nursery.start_soon(self._keep, self._timers)
-            self._nursery.start_soon(self._keep, self.clients.sweep)
-            self._nursery.start_soon(self._keep, self.clients.serve, listener, self._nursery)
-            if self.quic is not None:
-                self._nursery.start_soon(self._keep, self.quic.run)
-            self.log.event(
-                "started",
-                listen=self.config.listen,
-                rev=self.config.known.revision,
-                runners=[[t.uid, t.weight, t.machine_type] for t in self.config.known.endpoints],
-            )
-            await self._signals(signals, listener)
-
-    async def _keep(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
-        """Run a task for good: a fault of it must end neither it nor the others."""
-        while True:
-            try:
-                await task(*args)
-            except Exception as e:
-                self._fault(e)
-                await trio.sleep(0.1)
-
-    async def _once(self, task: Callable[[], Awaitable[None]]) -> None:
-        """One call to discovery: a fault of it counts as a call that failed."""
-        try:
-            await task()
-        except Exception as e:
-            self._fault(e)
-            self.driver.update_endpoints(EndpointUpdateScope.FAILED)
-
-    def _fault(self, e: Exception) -> None:
-        self.counters.add("faults")
-        self.log.event("fault", error=repr(e), trace="".join(traceback.format_exception(e))[-2000:])
+            listener = Listener(self._config.listen)
+            if self._quic is not None:
+                self._quic.bind()
+            async with trio.open_nursery() as self._nursery:
+                self._start_tasks(self._nursery, listener)
+                self._log_start()
+                await self._handle_signals(signals, listener)
+
+    def _start_tasks(self, nursery: trio.Nursery, listener: Listener) -> None:
+        self._driver.start(self._registry.apply(self._config.known))
+        if isinstance(self._endpoint_source, EndpointWatcher):
+            # From the first moment: what a local agent has counts as known, and asking it costs nothing.
+            nursery.start_soon(self._supervisor.run_once, self._endpoint_source.start, self._report_failed_update)
+        supervise = self._supervisor.supervise
+        nursery.start_soon(supervise, self._run_timers)
+        nursery.start_soon(supervise, self._clients.sweep)
+        nursery.start_soon(supervise, self._clients.serve, listener, nursery)
+        if self._quic is not None:
+            nursery.start_soon(supervise, self._quic.run)
+
+    def _log_start(self) -> None:
+        known = self._config.known
+        self._log.event(
+            "started",
+            listen=self._config.listen,
+            rev=known.revision,
+            runners=[[record.uid, record.weight, record.machine_type] for record in known.endpoints],
+        )
 
-    async def _signals(self, signals: AsyncIterator[int], listener: Listener) -> None:
-        """Carry out each signal as it comes, also while the process lets its clients go."""
+    async def _handle_signals(self, signals: AsyncIterator[int], listener: Listener) -> None:
+        """Handle each signal as it comes, also during the shutdown."""
         assert self._nursery is not None
         async for number in signals:
             if number == signal.SIGUSR1:
-                self.report()
+                self.log_counters()
             elif number == signal.SIGHUP:
                 try:
-                    self.reload.run()
-                except Exception as e:
-                    self._fault(e)
-            elif self.clients.newcomers:
-                self.clients.newcomers = False
-                self._nursery.start_soon(self._end, listener)
-
-    async def _end(self, listener: Listener) -> None:
-        """Let all clients go, then end the process, in time before the platform would kill it."""
+                    self._reloader.reload()
+                except Exception as error:
+                    self._supervisor.record(error)
+            elif self._clients.newcomers:
+                self._clients.newcomers = False
+                self._nursery.start_soon(self._shut_down, listener)
+
+    async def _shut_down(self, listener: Listener) -> None:
+        """Shut down within the time before the platform kills the process."""
         assert self._nursery is not None
-        if self.quic is not None:
-            self.quic.closing = True
-        phases = Phases.of(self.config.settings, self.clients.lateness.recent(trio.current_time()))
-        self.log.event(
-            "stopping", standing=len(self.clients.standing), placing=len(self.clients.placing), phases=asdict(phases)
+        if self._quic is not None:
+            self._quic.closing = True
+        lag = self._clients.lateness.recent(trio.current_time())
+        phases = ShutdownPhases.from_settings(self._config.settings, lag)
+        self._log.event(
+            "stopping",
+            standing=len(self._clients.standing),
+            placing=len(self._clients.placing),
+            phases=asdict(phases),
         )
         try:
-            await shut_down(self.clients, listener, phases, self._nursery)
-        except Exception as e:
-            self._fault(e)
+            await shut_down(self._clients, listener, phases, self._nursery)
+        except Exception as error:
+            self._supervisor.record(error)
         self._nursery.cancel_scope.cancel()
 
-    def _swap(self, config: Config) -> None:
-        """Put a configuration that was read anew in force, part by part. Nothing that stands is touched."""
-        old, self.config = self.config, config
-        self.driver.configure(config.settings)
-        self.clients.configure(_lines(config))
-        if (
-            isinstance(self.list, EndpointWatcher)
-            and config.discovery is not None
-            and config.discovery != old.discovery
-        ):
-            self.list.change_address(config.discovery)
-            if not self.list.is_running:
-                self._call(self.list.watch)
-        if self.list is None and config.known != old.known:
-            self.driver.update_endpoints(
-                EndpointUpdateScope.COMPLETE, self.fleet.apply(replace(config.known, complete=True))
-            )
-
-    def _prepare_quic(self, config: Config) -> Callable[[], list[str]]:
-        """The QUIC front's file read anew. Whether the front is on is settled at the start."""
-        settings = None if self._quic_file is None else load_quic(self._quic_file, config.classes)
-        front = self.quic
-        if settings is None or front is None:
-            turned = (settings is None) != (front is None)
-            return lambda: ["quic.enabled"] if turned else []
-        return lambda: [f"quic.{name}" for name in front.configure(settings)]
-
-    def report(self) -> None:
-        self.log.event(
+    def log_counters(self) -> None:
+        """Log all counters and what is known of each server."""
+        servers = self._driver.server_snapshots()
+        self._log.event(
             "counters",
-            standing=len(self.clients.standing),
-            open=self.clients.admission.open,
-            log_dropped=self.log.dropped,
-            counts=self.counters.report(),
-            runners={self.fleet.uid(n): asdict(s) for n, s in self.driver.server_snapshots().items()},
+            standing=len(self._clients.standing),
+            open=self._clients.admission.open,
+            log_dropped=self._log.dropped,
+            counts=self._counters.report(),
+            runners={self._registry.uid(server): asdict(snapshot) for server, snapshot in servers.items()},
         )
 
-    # ------------------------------------------------------------ what the driver asks for
+    # ------------------------------------------------------------ reload
+
+    def _apply_config(self, config: Config) -> None:
+        """Put a configuration into force, part by part. Established connections are not touched."""
+        old, self._config = self._config, config
+        self._driver.configure(config.settings)
+        self._clients.configure(_line_protocol_settings(config))
+        if config.discovery is not None and config.discovery != old.discovery:
+            self._change_discovery_address(config)
+        if self._endpoint_source is None and config.known != old.known:
+            known = replace(config.known, complete=True)
+            self._driver.update_endpoints(EndpointUpdateScope.COMPLETE, self._registry.apply(known))
+
+    def _change_discovery_address(self, config: Config) -> None:
+        watcher = self._endpoint_source
+        if isinstance(watcher, EndpointWatcher) and config.discovery is not None:
+            watcher.change_address(config.discovery)
+            if not watcher.is_running:
+                self.watch_endpoints()
+
+    def _prepare_quic_file(self, config: Config) -> ApplyFile:
+        """Read the QUIC front end's file. Only a restart can turn the front end on or off."""
+        settings = None if self._quic_file is None else load_quic(self._quic_file, config.classes)
+        frontend = self._quic
+        if settings is None or frontend is None:
+            is_toggled = (settings is None) != (frontend is None)
+            return lambda: ["quic.enabled"] if is_toggled else []
+        return lambda: [f"quic.{name}" for name in frontend.configure(settings)]
 
-    def watch_endpoints(self) -> None:
-        if self.list is not None:
-            self._call(self.list.watch)
+    # ------------------------------------------------------------ services for the driver
 
-    def _call(self, call: Callable[[], Awaitable[None]]) -> None:
-        assert self._nursery is not None
-        self._nursery.start_soon(self._once, call)
+    def watch_endpoints(self) -> None:
+        """Start a watch of the endpoint list; an error of it counts as a failed call to discovery."""
+        if self._endpoint_source is not None:
+            assert self._nursery is not None
+            self._nursery.start_soon(
+                self._supervisor.run_once, self._endpoint_source.watch, self._report_failed_update
+            )
 
     def check_health(self, server: int) -> None:
+        """Start a health check of a server."""
         assert self._nursery is not None
-        self._nursery.start_soon(self._probe, server)
-
-    async def _probe(self, server: int) -> None:
-        try:
-            await self.servers.probe(server)
-        except Exception as e:
-            self._fault(e)
+        self._nursery.start_soon(self._supervisor.run_once, partial(self._servers.probe, server))
 
     def timers_changed(self) -> None:
-        self._timer.set()
+        """Note that the driver's next timer may be an earlier one."""
+        self._timers_changed.set()
+
+    def _report_failed_update(self) -> None:
+        self._driver.update_endpoints(EndpointUpdateScope.FAILED)
 
-    async def _timers(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
-            self._timer = trio.Event()
-            wait = self.driver.next_timer()
-            with trio.move_on_after(float("inf") if wait is None else wait):
-                await self._timer.wait()
-            self.driver.run_timers()
+            self._timers_changed = trio.Event()
+            delay = self._driver.next_timer()
+            with trio.move_on_after(float("inf") if delay is None else delay):
+                await self._timers_changed.wait()
+            self._driver.run_timers()
 
 
-def _lines(config: Config) -> LinesSettings:
+def _line_protocol_settings(config: Config) -> LinesSettings:
     return LinesSettings(config.classes, config.tenants, config.settings, config.limits.sockets)
-
-
-async def serve(
-    source: ConfigSource,
-    config: Config,
-    quic: QuicSettings | None,
-    store: StoreSettings | None,
-    log: Log,
-    quic_file: Path | None = None,
-) -> None:
-    counters = Counters()
-    if store is None:
-        await _run(Daemon(source, config, quic, log, counters, quic_file=quic_file))
-        return
-    from aspensaddle.daemon.stored import stored_settings
-    from aspensaddle.store.replica import Replica
-
-    replica = Replica(config.name, store, counters)
-    replica.bind()
-    async with trio.open_nursery() as nursery:
-        nursery.start_soon(replica.run)
-        config = await stored_settings(replica, config, log)
-        await _run(Daemon(source, config, quic, log, counters, replica, quic_file))
-        nursery.cancel_scope.cancel()
-
-
-async def _run(daemon: Daemon) -> None:
-    try:
-        await daemon.run()
-    finally:
-        daemon.report()
--- /dev/null
+++ b/aspensaddle/daemon/store_integration.py
@@ -0,0 +1,128 @@
+"""What the daemon reads from the replicated store: its endpoint list and its settings.
+
+Both are decoded into the same types as from the platform, so that the core never sees the store.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import trio
+
+from aspensaddle.core.driver import Driver
+from aspensaddle.core.events import EndpointUpdateScope
+from aspensaddle.daemon.config import Config, with_settings
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import EndpointListUpdate, EndpointRecord, parse_endpoint
+from aspensaddle.store.replica import Replica
+from aspensaddle.store.state import Entry
+from aspensaddle.support.counters import Counters
+from aspensaddle.support.files import load_json
+from aspensaddle.support.json_fields import DecodeError
+from aspensaddle.support.log import Log
+
+ENDPOINT_KEY_PREFIX = "runner/"  # and the uid; the value is an entry of an endpoint list
+SETTINGS_KEY = "config/settings"  # the settings, as in the configuration
+INITIAL_SYNC_SECONDS = 2.0  # how long a start waits for a peer that holds the settings
+POLL_SECONDS = 0.02
+
+
+@dataclass(frozen=True, slots=True)
+class StoredEndpoints:
+    """The endpoint list that the store's entries make up.
+
+    Attributes:
+        update: The complete list of the valid entries.
+        errors: What is wrong with each invalid entry, which is left out.
+    """
+
+    update: EndpointListUpdate
+    errors: tuple[str, ...]
+
+
+def parse_stored_endpoints(values: dict[str, str]) -> StoredEndpoints:
+    """Decode the store's endpoint entries, given by key."""
+    endpoints, errors = [], []
+    for key, value in values.items():
+        try:
+            endpoints.append(_parse_stored_endpoint(key, value))
+        except DecodeError as error:
+            errors.append(f"{key}: {error}")
+    return StoredEndpoints(EndpointListUpdate(endpoints=tuple(endpoints)), tuple(errors))
+
+
+def _parse_stored_endpoint(key: str, value: str) -> EndpointRecord:
+    endpoint = parse_endpoint(load_json(value.encode()))
+    if ENDPOINT_KEY_PREFIX + endpoint.uid != key:
+        raise DecodeError(f"uid is {endpoint.uid!r:.60}")
+    return endpoint
+
+
+async def wait_for_stored_settings(replica: Replica, config: Config, log: Log) -> Config:
+    """Return the configuration with the stored settings, after a wait for a peer to tell them."""
+    with trio.move_on_after(INITIAL_SYNC_SECONDS):
+        while not replica.agreed and replica.state.get(SETTINGS_KEY) is None:
+            await trio.sleep(POLL_SECONDS)
+    return with_stored_settings(replica, config, log)
+
+
+def with_stored_settings(replica: Replica, config: Config, log: Log) -> Config:
+    """Return the configuration with the settings that the store holds now, if any are valid."""
+    if (value := replica.state.get(SETTINGS_KEY)) is None:
+        return config
+    try:
+        return with_settings(config, load_json(value.encode()))
+    except DecodeError as error:
+        log.event("stored settings refused", why=str(error))
+        return config
+
+
+class StoredEndpointSource:
+    """Passes the endpoint list in the store to the driver, in place of an `EndpointWatcher`."""
+
+    def __init__(
+        self, replica: Replica, driver: Driver, registry: EndpointRegistry, counters: Counters, log: Log
+    ) -> None:
+        self._replica = replica
+        self._driver = driver
+        self._registry = registry
+        self._counters = counters
+        self._log = log
+        self._watch_scope = trio.CancelScope()
+        self._changed = trio.Event()
+        replica.changed = self._handle_changes
+
+    def _handle_changes(self, entries: list[Entry]) -> None:
+        if any(entry.key.startswith(ENDPOINT_KEY_PREFIX) for entry in entries):
+            self._changed.set()
+        if any(entry.key == SETTINGS_KEY for entry in entries):
+            self._log.event("stored settings changed", note="in force from the next start or reload")
+
+    async def watch(self) -> None:
+        """Pass the list on now and after each change; a second call replaces the first."""
+        self._watch_scope.cancel()
+        with trio.CancelScope() as self._watch_scope:
+            while self._publish():
+                await self._changed.wait()
+                self._changed = trio.Event()
+            self._driver.update_endpoints(EndpointUpdateScope.FAILED)
+
+    def _publish(self) -> bool:
+        """Pass the list to the driver.
+
+        Returns:
+            False if the store has no endpoint: it is empty or not synchronized yet, and a list known from before is
+            better than none.
+        """
+        stored = parse_stored_endpoints(self._replica.state.values(ENDPOINT_KEY_PREFIX))
+        for error in stored.errors:
+            self._counters.add("store runners refused")
+            self._log.event("stored runner refused", why=error)
+        update = stored.update
+        if not update.endpoints:
+            return False
+        self._counters.add("lists")
+        endpoints = [[record.uid, record.state.value] for record in update.endpoints]
+        self._log.event("list", rev=update.revision, full=update.complete, targets=endpoints)
+        self._driver.update_endpoints(update.scope, self._registry.apply(update))
+        return True
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -14,7 +14,7 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
-from aspensaddle.daemon.shutdown import Phases, shut_down
+from aspensaddle.daemon.graceful_shutdown import ShutdownPhases, shut_down
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.line_protocol.admission import Stage
@@ -125,7 +125,7 @@
     async def end(self) -> None:
         """As at SIGTERM."""
         settings = self.config.settings
-        await shut_down(self.clients, self.listener, Phases.of(settings, 0.0), self.nursery)
+        await shut_down(self.clients, self.listener, ShutdownPhases.from_settings(settings, 0.0), self.nursery)
 
     def reload(self, **limits: Any) -> None:
         """As at SIGHUP."""
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -17,7 +17,7 @@
 from aspensaddle.core import balancer as balance
 from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
-from aspensaddle.daemon.stored import runners_update
+from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.store.settings import parse_store
@@ -75,8 +75,8 @@
         a.put(f"runner/s-{MANY + n:08x}", None)
     for bucket in b.differing(a.sums()):
         b.merge(a.missing(bucket, b.marks(bucket))[0])
-    update, wrong = runners_update(b.values("runner/"))
-    assert len(update.endpoints) == len(b.values("balancer/")) == MANY and not wrong
+    stored = parse_stored_endpoints(b.values("runner/"))
+    assert len(stored.update.endpoints) == len(b.values("balancer/")) == MANY and not stored.errors
     nodes = {f"n{n}": f"127.0.{n // 256}.{n % 256}:7000" for n in range(MANY)}
     settings = parse_store({"enabled": True, "key": "00" * 16, "nodes": nodes})
     assert settings is not None and len(settings.nodes) == MANY
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -17,8 +17,6 @@
 }
 OVERSIZED_FUNCTIONS = {
     "aspensaddle/conformance/peers.py:__init__",
-    "aspensaddle/daemon/service.py:__init__",
-    "aspensaddle/daemon/shutdown.py:shut_down",
     "aspensaddle/frontends/line_protocol/clients.py:_request",
     "aspensaddle/frontends/quic/engine.py:_initial",
     "aspensaddle/importer/nginx.py:build",
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,12 @@
 from inside import Inside
 from standins import SETTINGS, WAIT, Client, Runner, until
 
-from aspensaddle.daemon.shutdown import COUNTED_AS, KILLED_AFTER, NEWCOMERS, Phases
+from aspensaddle.daemon.graceful_shutdown import (
+    KILL_MARGIN_SECONDS,
+    MAX_DEADLINE_SECONDS,
+    NEW_CONNECTIONS_SECONDS,
+    ShutdownPhases,
+)
 
 DEADLINES = [0.1, 0.3, 0.6, 1.2, 1.8, 3.0, 12.0]
 
@@ -21,15 +26,15 @@
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_the_phases_follow_from_the_deadlines_and_fit_before_the_kill(deadline, late):
     classes = tuple(replace(MODULE_SETTINGS.classes[0], deadline=d) for d in (deadline, deadline / 2))
-    p = Phases.of(replace(MODULE_SETTINGS, classes=classes), late)
-    killed = min(COUNTED_AS, deadline) + KILLED_AFTER
+    p = ShutdownPhases.from_settings(replace(MODULE_SETTINGS, classes=classes), late)
+    killed = min(MAX_DEADLINE_SECONDS, deadline) + KILL_MARGIN_SECONDS
     assert 0 < p.newcomers < p.answered < p.emptied < p.closed < killed
     assert killed - p.closed >= min(late, killed / 4)
-    if late <= 0.05 and deadline <= COUNTED_AS:
+    if late <= 0.05 and deadline <= MAX_DEADLINE_SECONDS:
         assert p.answered >= deadline  # who was taken right before has its whole time
-        assert p.emptied > NEWCOMERS  # nobody comes any more when the queue is emptied
+        assert p.emptied > NEW_CONNECTIONS_SECONDS  # nobody comes any more when the queue is emptied
     if deadline >= 0.6 and late <= 0.05:
-        assert p.newcomers > NEWCOMERS
+        assert p.newcomers > NEW_CONNECTIONS_SECONDS
 
 
 def lanes(deadline):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from standins import ROOT, SETTINGS, WAIT, Client, Program, Runner, free_port, until
 
-from aspensaddle.daemon.stored import runners_update
+from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.store.messages import DATAGRAM, Entries, Marks, Sums, Wants, in_datagrams, seal, unseal
 from aspensaddle.store.settings import parse_store
 from aspensaddle.store.state import BUCKETS, MOST_IN_BUCKET, MOST_KEYS, MOST_VALUE, Entry, State, StoreError
@@ -148,10 +148,10 @@
 
 def test_runners_are_read_as_discovery_s_and_wrong_ones_are_told():
     good = {"uid": "s-1", "endpoint": "127.0.0.1:1", "state": "active"}
-    update, wrong = runners_update(
+    stored = parse_stored_endpoints(
         {"runner/s-1": json.dumps(good), "runner/s-2": json.dumps(good), "runner/s-3": "{"}
     )
-    assert update.complete and [t.uid for t in update.endpoints] == ["s-1"] and len(wrong) == 2
+    assert stored.update.complete and [t.uid for t in stored.update.endpoints] == ["s-1"] and len(stored.errors) == 2
 
 
 @pytest.mark.parametrize(
