--- a/aspensaddle/store/__init__.py
+++ b/aspensaddle/store/__init__.py
@@ -1,1 +1,1 @@
-"""A small replicated store for the configuration and state of one operator's daemons. See `docs/store.md`."""
+"""A small replicated store for the configuration and state of one operator's daemons (`docs/store.md`)."""
--- a/aspensaddle/store/__main__.py
+++ b/aspensaddle/store/__main__.py
@@ -22,58 +22,83 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.files import ConfigError
 
-WITHIN = 5.0
-ARGUMENTS = {"list": (0, 1), "get": (1, 1), "put": (2, 2), "remove": (1, 1)}
+AGREEMENT_TIMEOUT_SECONDS = 5.0
+POLL_SECONDS = 0.01
+ARGUMENT_COUNTS = {"list": (0, 1), "get": (1, 1), "put": (2, 2), "remove": (1, 1)}  # least and most
 
+EXIT_FAILED = 1
+EXIT_USAGE = 2
 
-async def act(settings: StoreSettings, command: str, args: list[str]) -> int:
+
+async def run_command(settings: StoreSettings, command: str, args: list[str]) -> int:
+    """Run a command on a replica that joins the others for a moment, and return the exit status."""
     replica = Replica("operator", settings, Counters())
-    host = next(iter(settings.nodes.values()))[0]
-    replica.bind(("::" if ":" in host else "127.0.0.1" if host.startswith("127.") else "0.0.0.0", 0))
+    replica.bind((_local_host(settings), 0))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(replica.run)
-        reached = await _agreed(replica)
+        reached = await _wait_for_agreement(replica)
         if reached and command in ("put", "remove"):
             replica.put(args[0], args[1] if command == "put" else None)
-            reached = await _agreed(replica)
+            reached = await _wait_for_agreement(replica)
         nursery.cancel_scope.cancel()
     if not reached:
         print("aspensaddle.store: no daemon answers", file=sys.stderr)
-        return 1
+        return EXIT_FAILED
     if command == "list":
-        for key, value in replica.state.values(args[0] if args else "").items():
-            print(f"{key}\t{value}")
+        _print_values(replica, prefix=args[0] if args else "")
     elif command == "get":
-        if (found := replica.state.get(args[0])) is None:
-            print(f"aspensaddle.store: {args[0]} is not there", file=sys.stderr)
-            return 1
-        print(found)
+        return _print_value(replica, key=args[0])
+    return 0
+
+
+def _local_host(settings: StoreSettings) -> str:
+    host = next(iter(settings.nodes.values()))[0]
+    if ":" in host:
+        return "::"
+    return "127.0.0.1" if host.startswith("127.") else "0.0.0.0"
+
+
+def _print_values(replica: Replica, prefix: str) -> None:
+    for key, value in replica.state.values(prefix).items():
+        print(f"{key}\t{value}")
+
+
+def _print_value(replica: Replica, key: str) -> int:
+    if (value := replica.state.get(key)) is None:
+        print(f"aspensaddle.store: {key} is not there", file=sys.stderr)
+        return EXIT_FAILED
+    print(value)
     return 0
 
 
-async def _agreed(replica: Replica) -> bool:
-    with trio.move_on_after(WITHIN):
+async def _wait_for_agreement(replica: Replica) -> bool:
+    with trio.move_on_after(AGREEMENT_TIMEOUT_SECONDS):
         while not replica.agreed:
-            await trio.sleep(0.01)
+            await trio.sleep(POLL_SECONDS)
     return bool(replica.agreed)
 
 
-def main(argv: list[str]) -> int:
-    if (
-        len(argv) < 2
-        or argv[1] not in ARGUMENTS
-        or not ARGUMENTS[argv[1]][0] <= len(argv) - 2 <= ARGUMENTS[argv[1]][1]
-    ):
+def _is_valid(arguments: list[str]) -> bool:
+    if len(arguments) < 2 or arguments[1] not in ARGUMENT_COUNTS:
+        return False
+    least, most = ARGUMENT_COUNTS[arguments[1]]
+    return least <= len(arguments) - 2 <= most
+
+
+def main(arguments: list[str]) -> int:
+    """Run the command line and return the exit status."""
+    if not _is_valid(arguments):
         print(__doc__, file=sys.stderr)
-        return 2
+        return EXIT_USAGE
+    path, command, *rest = arguments
     try:
-        settings = load_store(Path(argv[0]))
+        settings = load_store(Path(path))
         if settings is None:
-            raise ConfigError(f"{argv[0]}: not there, or enabled is not true")
-        return trio.run(act, settings, argv[1], argv[2:])
-    except (ConfigError, StoreError) as e:
-        print(f"aspensaddle.store: {e}", file=sys.stderr)
-        return 2
+            raise ConfigError(f"{path}: not there, or enabled is not true")
+        return trio.run(run_command, settings, command, rest)
+    except (ConfigError, StoreError) as error:
+        print(f"aspensaddle.store: {error}", file=sys.stderr)
+        return EXIT_USAGE
 
 
 if __name__ == "__main__":
--- a/aspensaddle/store/messages.py
+++ b/aspensaddle/store/messages.py
@@ -1,4 +1,7 @@
-"""What replicas say to each other: datagrams of JSON behind an HMAC-SHA256 tag of the shared key."""
+"""Messages between replicas: datagrams of JSON behind an HMAC-SHA256 tag under the shared key.
+
+The only module that names the wire fields of the store.
+"""
 
 from __future__ import annotations
 
@@ -8,117 +11,170 @@
 
 import orjson
 
-from aspensaddle.store.state import BUCKETS, KEY, NODE, Entry
+from aspensaddle.store.state import BUCKET_COUNT, KEY_PATTERN, NODE_PATTERN, Entry
 from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, integer, obj, text
 
-DATAGRAM = 8192  # bytes at most
-TAG = 32
-FRESH = 60_000  # ms by which the sender's clock may differ: an older datagram is a replay
+MAX_DATAGRAM_BYTES = 8192
+TAG_BYTES = 32
+ENVELOPE_BYTES = 200  # at most, of a datagram beside its entries
+MAX_CLOCK_DIFFERENCE_MS = 60_000  # between two nodes; an older datagram is a replay
 
 
 @dataclass(slots=True)
-class Sums:
-    """The sums of all buckets."""
+class BucketDigests:
+    """The digests of all buckets of the sender."""
 
-    sums: list[str]
+    digests: list[str]
 
 
 @dataclass(slots=True)
-class Marks:
-    """The marks of all entries of one bucket."""
+class VersionSummary:
+    """The version digest of each entry in one bucket of the sender, by key."""
 
     bucket: int
-    marks: dict[str, str]
+    versions: dict[str, str]
 
 
 @dataclass(slots=True)
-class Wants:
+class EntryRequest:
+    """Asks for the entries of some keys."""
+
     keys: list[str]
 
 
 @dataclass(slots=True)
-class Entries:
+class EntryBatch:
+    """Entries that the sender wrote, was asked for, or that the receiver seems to lack."""
+
     entries: list[Entry] = field(default_factory=list)
 
 
-Body = Sums | Marks | Wants | Entries
+Body = BucketDigests | VersionSummary | EntryRequest | EntryBatch
 
 
-def seal(key: bytes, node: str, now_ms: int, body: Body) -> bytes:
-    match body:
-        case Sums():
-            fields: Message = {"kind": "sums", "sums": body.sums}
-        case Marks():
-            fields = {"kind": "marks", "bucket": body.bucket, "marks": body.marks}
-        case Wants():
-            fields = {"kind": "wants", "keys": body.keys}
-        case Entries():
-            rows = [[e.key, e.version, e.node, e.value] for e in body.entries]
-            fields = {"kind": "entries", "entries": rows}
-    data = orjson.dumps({"node": node, "at": now_ms, **fields})
+@dataclass(slots=True)
+class AuthenticatedMessage:
+    """A message from a holder of the shared key.
+
+    Attributes:
+        node: The sender's name.
+        body: What it says.
+    """
+
+    node: str
+    body: Body
+
+
+def encode_datagram(key: bytes, node: str, now_ms: int, body: Body) -> bytes:
+    """Return a message as an authenticated datagram.
+
+    Args:
+        key: The shared key.
+        node: The sender's name.
+        now_ms: The sender's Unix time in milliseconds.
+        body: What it says.
+    """
+    data = orjson.dumps({"node": node, "at": now_ms, **_body_fields(body)})
     return hmac.digest(key, data, "sha256") + data
 
 
-def unseal(key: bytes, now_ms: int, datagram: bytes) -> tuple[str, Body]:
-    """The sender's name and what it says. Raises `DecodeError` for all that the key did not seal just now."""
-    data = datagram[TAG:]
-    if not hmac.compare_digest(hmac.digest(key, data, "sha256"), datagram[:TAG]):
+def _body_fields(body: Body) -> Message:
+    match body:
+        case BucketDigests():
+            return {"kind": "sums", "sums": body.digests}
+        case VersionSummary():
+            return {"kind": "marks", "bucket": body.bucket, "marks": body.versions}
+        case EntryRequest():
+            return {"kind": "wants", "keys": body.keys}
+        case EntryBatch():
+            return {"kind": "entries", "entries": [_entry_row(entry) for entry in body.entries]}
+
+
+def decode_datagram(key: bytes, now_ms: int, datagram: bytes) -> AuthenticatedMessage:
+    """Verify a datagram and decode its message.
+
+    Args:
+        key: The shared key.
+        now_ms: The receiver's Unix time in milliseconds.
+        datagram: What was received.
+
+    Raises:
+        DecodeError: If a holder of the key did not send it recently, or it is malformed.
+    """
+    data = datagram[TAG_BYTES:]
+    if not hmac.compare_digest(hmac.digest(key, data, "sha256"), datagram[:TAG_BYTES]):
         raise DecodeError("the tag does not fit")
     try:
-        m = as_object(orjson.loads(data), "a datagram")
+        message = as_object(orjson.loads(data), "a datagram")
     except orjson.JSONDecodeError:
         raise DecodeError("not JSON") from None
-    node = text(m, "node")
-    if not NODE.fullmatch(node):
+    node = text(message, "node")
+    if not NODE_PATTERN.fullmatch(node):
         raise DecodeError("node is not a name")
-    if abs(integer(m, "at") - now_ms) > FRESH:
+    if abs(integer(message, "at") - now_ms) > MAX_CLOCK_DIFFERENCE_MS:
         raise DecodeError("at is not now")
-    return node, _body(m)
+    return AuthenticatedMessage(node, _decode_body(message))
 
 
-def _body(m: Message) -> Body:
-    kind = text(m, "kind")
+def _decode_body(message: Message) -> Body:
+    kind = text(message, "kind")
     if kind == "sums":
-        sums = [_text(s, "sums") for s in array(m, "sums")]
-        if len(sums) != BUCKETS:
-            raise DecodeError("sums must be one a bucket")
-        return Sums(sums)
+        return _decode_bucket_digests(message)
     if kind == "marks":
-        bucket, marks = integer(m, "bucket"), obj(m, "marks")
-        if not 0 <= bucket < BUCKETS:
-            raise DecodeError("bucket is none")
-        return Marks(bucket, {k: _text(v, "marks") for k, v in marks.items() if KEY.fullmatch(k)})
+        return _decode_version_summary(message)
     if kind == "wants":
-        return Wants([_text(k, "keys") for k in array(m, "keys")])
+        return EntryRequest([_string(key, "keys") for key in array(message, "keys")])
     if kind == "entries":
-        return Entries([_entry(e) for e in array(m, "entries")])
+        return EntryBatch([_decode_entry(row) for row in array(message, "entries")])
     raise DecodeError(f"kind {kind!r:.40} is not known")
 
 
-def _text(value: object, name: str) -> str:
-    if type(value) is not str:
-        raise DecodeError(f"{name} must hold strings")
-    return value
+def _decode_bucket_digests(message: Message) -> BucketDigests:
+    digests = [_string(digest, "sums") for digest in array(message, "sums")]
+    if len(digests) != BUCKET_COUNT:
+        raise DecodeError("sums must be one a bucket")
+    return BucketDigests(digests)
+
 
+def _decode_version_summary(message: Message) -> VersionSummary:
+    bucket = integer(message, "bucket")
+    versions = obj(message, "marks")
+    if not 0 <= bucket < BUCKET_COUNT:
+        raise DecodeError("bucket is none")
+    return VersionSummary(
+        bucket,
+        {key: _string(digest, "marks") for key, digest in versions.items() if KEY_PATTERN.fullmatch(key)},
+    )
 
-def _entry(value: object) -> Entry:
+
+def _decode_entry(value: object) -> Entry:
     if type(value) is not list or len(value) != 4:
         raise DecodeError("an entry must be [key, version, node, value]")
     key, version, node, content = value
     if type(version) is not int or content is not None and type(content) is not str:
         raise DecodeError("an entry must be [key, version, node, value]")
-    return Entry(_text(key, "key"), version, _text(node, "node"), content)
+    return Entry(_string(key, "key"), version, _string(node, "node"), content)
+
+
+def _entry_row(entry: Entry) -> list[str | int | None]:
+    return [entry.key, entry.version, entry.node, entry.value]
+
+
+def _string(value: object, name: str) -> str:
+    if type(value) is not str:
+        raise DecodeError(f"{name} must hold strings")
+    return value
 
 
-def in_datagrams(entries: Iterable[Entry]) -> Iterator[Entries]:
-    """Entries in as few datagrams as hold them."""
-    part, room = Entries(), DATAGRAM - 200
+def split_into_batches(entries: Iterable[Entry]) -> Iterator[EntryBatch]:
+    """Yield the entries in as few batches as fit into a datagram each."""
+    batch, room = EntryBatch(), MAX_DATAGRAM_BYTES - ENVELOPE_BYTES
     for entry in entries:
-        size = len(orjson.dumps([entry.key, entry.version, entry.node, entry.value])) + 1
-        if size > room and part.entries:
-            yield part
-            part, room = Entries(), DATAGRAM - 200
-        part.entries.append(entry)
+        size = len(orjson.dumps(_entry_row(entry))) + 1
+        if size > room and batch.entries:
+            yield batch
+            batch, room = EntryBatch(), MAX_DATAGRAM_BYTES - ENVELOPE_BYTES
+        batch.entries.append(entry)
         room -= size
-    if part.entries:
-        yield part
+    if batch.entries:
+        yield batch
--- a/aspensaddle/store/settings.py
+++ b/aspensaddle/store/settings.py
@@ -1,47 +1,87 @@
-"""The operator's file of the store, `deploy/store.toml`. Off without it, or with `enabled = false`."""
+"""The operator's file of the store, `deploy/store.toml`. The store is off without it or with `enabled = false`."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from pathlib import Path
 
-from aspensaddle.store.state import NODE
+from aspensaddle.store.state import NODE_PATTERN
 from aspensaddle.support.address import Address, parse_address
 from aspensaddle.support.files import load_toml
 from aspensaddle.support.json_fields import DecodeError, Message, flag, number, obj, text
 
-KEYS = {"enabled", "key", "nodes", "gossip_s", "runners"}
+SETTING_NAMES = {"enabled", "key", "nodes", "gossip_s", "runners"}
+MIN_KEY_BYTES = 16
+MIN_GOSSIP_INTERVAL_SECONDS, MAX_GOSSIP_INTERVAL_SECONDS = 0.05, 3600
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
+    """The settings of the store.
+
+    Attributes:
+        key: The key that all daemons share.
+        nodes: The address of each daemon by name, this one included.
+        gossip_s: Mean seconds between two comparisons with a peer.
+        runners: Whether the endpoint list comes from the store instead of discovery.
+    """
+
     key: bytes
-    nodes: dict[str, Address]  # the daemons by name, this one too
+    nodes: dict[str, Address]
     gossip_s: float = 1.0
-    runners: bool = False  # the list of runners comes from the store instead of discovery
+    runners: bool = False
 
 
 def load_store(path: Path) -> StoreSettings | None:
+    """Read the file; None if there is none or it turns the store off.
+
+    Raises:
+        ConfigError: If it can't be read or used.
+    """
     return load_toml(path, parse_store)
 
 
-def parse_store(m: Message) -> StoreSettings | None:
-    if not flag(m, "enabled"):
+def parse_store(message: Message) -> StoreSettings | None:
+    """Decode the settings; None if they turn the store off.
+
+    Raises:
+        DecodeError: If a setting is missing, wrong or unknown.
+    """
+    if not flag(message, "enabled"):
         return None
-    if unknown := sorted(set(m) - KEYS):
+    if unknown := sorted(set(message) - SETTING_NAMES):
         raise DecodeError(f"{unknown[0]} is not a setting")
+    return StoreSettings(
+        key=_parse_key(message),
+        nodes=_parse_nodes(message),
+        gossip_s=_parse_gossip_interval(message),
+        runners=flag(message, "runners"),
+    )
+
+
+def _parse_key(message: Message) -> bytes:
     try:
-        key = bytes.fromhex(text(m, "key"))
+        key = bytes.fromhex(text(message, "key"))
     except ValueError:
         raise DecodeError("key must be hex digits") from None
-    if len(key) < 16:
-        raise DecodeError("key must be 16 octets at least, in hex digits")
-    table, nodes = obj(m, "nodes"), {}
+    if len(key) < MIN_KEY_BYTES:
+        raise DecodeError(f"key must be {MIN_KEY_BYTES} octets at least, in hex digits")
+    return key
+
+
+def _parse_nodes(message: Message) -> dict[str, Address]:
+    table, nodes = obj(message, "nodes"), {}
     for name in table:
-        if not NODE.fullmatch(name):
+        if not NODE_PATTERN.fullmatch(name):
             raise DecodeError(f"nodes: {name!r:.60} is not a name")
         nodes[name] = parse_address(text(table, name), f"nodes.{name}")
-    gossip = number(m, "gossip_s", 1.0)
-    if not 0.05 <= gossip <= 3600:
-        raise DecodeError(f"gossip_s must be 0.05 to 3600, not {gossip!r}")
-    return StoreSettings(key, nodes, float(gossip), flag(m, "runners"))
+    return nodes
+
+
+def _parse_gossip_interval(message: Message) -> float:
+    interval = number(message, "gossip_s", 1.0)
+    if not MIN_GOSSIP_INTERVAL_SECONDS <= interval <= MAX_GOSSIP_INTERVAL_SECONDS:
+        raise DecodeError(
+            f"gossip_s must be {MIN_GOSSIP_INTERVAL_SECONDS} to {MAX_GOSSIP_INTERVAL_SECONDS}, not {interval!r}"
+        )
+    return float(interval)
--- a/aspensaddle/store/state.py
+++ b/aspensaddle/store/state.py
@@ -1,7 +1,7 @@
-"""The entries of one replica: versioned keys, the last writer by (version, node) wins. Knows no sockets.
+"""The entries of one replica: versioned keys, last writer wins by (version, node). Free of I/O.
 
-Versions are milliseconds of Unix time, or one more than the newest seen where that is later. So a node that
-starts again from nothing writes versions above its old ones without having kept any.
+Versions are milliseconds of Unix time, or one more than the newest seen where that is later. A node that starts
+again without data therefore writes versions above its former ones.
 """
 
 from __future__ import annotations
@@ -13,69 +13,128 @@
 
 import orjson
 
-MOST_KEYS = 4096  # 1,024 runners and as many balancers, and removed ones, which count too
-MOST_VALUE = 4096  # bytes, written as JSON
-AHEAD = 300_000  # ms that a version may lie ahead of this clock: a wild one would win for ever
-BUCKETS = 256  # one octet of a hash; 16 keys each where all are taken
-MOST_IN_BUCKET = 50  # so that the marks of one fit into a datagram
+MAX_KEYS = 4096  # 1,024 servers and as many balancers; removed keys count too
+MAX_VALUE_BYTES = 4096  # as JSON
+MAX_VERSION_LEAD_MS = 300_000  # before this clock; a version far in the future would win for ever
+BUCKET_COUNT = 256  # one octet of a hash; 16 keys each if all are taken
+MAX_KEYS_IN_BUCKET = 50  # the version summary of a bucket fits into a datagram
+DIGEST_BYTES = 8
 
-KEY = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_./:-]{0,127}")
-NODE = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}")
+KEY_PATTERN = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_./:-]{0,127}")
+NODE_PATTERN = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_.-]{0,63}")
 
 
 class StoreError(Exception):
-    """An entry that can't be kept; the text says why."""
+    """An entry that can't be stored.
+
+    Attributes:
+        field: The field of the entry that is wrong.
+        reason: What is wrong with it.
+    """
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field = field
+        self.reason = reason
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """One version of a key.
+
+    Attributes:
+        key: The key.
+        version: Milliseconds of Unix time, or later than a version seen before.
+        node: The name of the node that wrote it.
+        value: The value; None if the key was removed.
+    """
+
     key: str
     version: int
     node: str
-    value: str | None  # None: removed
+    value: str | None
 
     @property
     def order(self) -> tuple[int, str, bool, str]:
-        """Later is larger. The value decides where a node wrote a version twice, so that all agree."""
+        """Sort key: the later entry is larger. The value decides if a node wrote a version twice."""
         return (self.version, self.node, self.value is not None, self.value or "")
 
     @property
-    def mark(self) -> str:
-        """Short for the version, the node and the value."""
+    def version_digest(self) -> str:
+        """A short digest of version, node and value."""
         text = f"{self.version} {self.node} {self.value!r}"
-        return blake2b(text.encode(), digest_size=8).hexdigest()
+        return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
+
+
+@dataclass(frozen=True, slots=True)
+class BucketDifference:
+    """How a bucket differs from a peer's.
+
+    Attributes:
+        to_send: Entries that the peer lacks or has another version of.
+        to_request: Keys that are missing here or that the peer has another version of.
+    """
+
+    to_send: list[Entry]
+    to_request: list[str]
 
 
 def bucket_of(key: str) -> int:
-    return blake2b(key.encode(), digest_size=1).digest()[0] % BUCKETS
+    """Return the number of the bucket that a key belongs to."""
+    return blake2b(key.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
+
 
+class ReplicaState:
+    """The entries of one replica, in buckets for the comparison with peers.
+
+    Attributes:
+        entries: The newest entry of each key, also of removed ones.
+    """
 
-class State:
     def __init__(self, node: str, clock_ms: Callable[[], int]) -> None:
-        if not NODE.fullmatch(node):
-            raise StoreError(f"node: {node!r:.60} is not a name")
-        self.node, self._clock = node, clock_ms
+        """Create an empty state.
+
+        Args:
+            node: The name of this node.
+            clock_ms: Returns Unix time in milliseconds.
+
+        Raises:
+            StoreError: If the name is not valid.
+        """
+        _check_node(node)
+        self.node = node
         self.entries: dict[str, Entry] = {}
-        self._buckets: list[dict[str, Entry]] = [{} for _ in range(BUCKETS)]
-        self._newest = 0
+        self._clock_ms = clock_ms
+        self._buckets: list[dict[str, Entry]] = [{} for _ in range(BUCKET_COUNT)]
+        self._newest_version = 0
 
     def get(self, key: str) -> str | None:
+        """Return the value of a key, or None if it is missing or removed."""
         entry = self.entries.get(key)
         return entry.value if entry is not None else None
 
     def values(self, prefix: str) -> dict[str, str]:
-        return {k: e.value for k, e in sorted(self.entries.items()) if k.startswith(prefix) and e.value is not None}
+        """Return the values of all keys with a prefix, sorted by key."""
+        return {
+            key: entry.value
+            for key, entry in sorted(self.entries.items())
+            if key.startswith(prefix) and entry.value is not None
+        }
 
     def put(self, key: str, value: str | None) -> Entry:
-        """Write here; None removes."""
-        entry = Entry(key, max(self._clock(), self._newest + 1), self.node, value)
+        """Write a value on this node; None removes the key.
+
+        Raises:
+            StoreError: If the entry can't be stored.
+        """
+        entry = Entry(key, max(self._clock_ms(), self._newest_version + 1), self.node, value)
         self._check(entry)
         self._set(entry)
         return entry
 
     def merge(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Take what others wrote later; returns what was new. What can't be kept is passed over."""
-        taken = []
+        """Take over entries of other nodes that are later, and return these. Invalid ones are ignored."""
+        merged = []
         for entry in entries:
             try:
                 self._check(entry)
@@ -84,55 +143,71 @@
             known = self.entries.get(entry.key)
             if known is None or entry.order > known.order:
                 self._set(entry)
-                taken.append(entry)
-        return taken
+                merged.append(entry)
+        return merged
 
     def _check(self, entry: Entry) -> None:
-        if not KEY.fullmatch(entry.key):
-            raise StoreError(f"key: {entry.key!r:.60} is not one")
-        if not NODE.fullmatch(entry.node):
-            raise StoreError(f"node: {entry.node!r:.60} is not a name")
-        try:
-            size = len(orjson.dumps(entry.value))
-        except orjson.JSONEncodeError:
-            raise StoreError("value: not text") from None
-        if size > MOST_VALUE:
-            raise StoreError(f"value: over {MOST_VALUE} bytes")
-        if not 0 < entry.version <= self._clock() + AHEAD:
-            raise StoreError(f"version: {entry.version} is not near this clock")
-        if entry.key not in self.entries and (
-            len(self.entries) >= MOST_KEYS or len(self._buckets[bucket_of(entry.key)]) >= MOST_IN_BUCKET
-        ):
-            raise StoreError("key: no room for another")
+        if not KEY_PATTERN.fullmatch(entry.key):
+            raise StoreError("key", f"{entry.key!r:.60} is not one")
+        _check_node(entry.node)
+        _check_value(entry.value)
+        if not 0 < entry.version <= self._clock_ms() + MAX_VERSION_LEAD_MS:
+            raise StoreError("version", f"{entry.version} is not near this clock")
+        if entry.key not in self.entries and self._is_full(entry.key):
+            raise StoreError("key", "no room for another")
+
+    def _is_full(self, key: str) -> bool:
+        return len(self.entries) >= MAX_KEYS or len(self._buckets[bucket_of(key)]) >= MAX_KEYS_IN_BUCKET
 
     def _set(self, entry: Entry) -> None:
-        self._newest = max(self._newest, entry.version)
+        self._newest_version = max(self._newest_version, entry.version)
         self.entries[entry.key] = self._buckets[bucket_of(entry.key)][entry.key] = entry
 
-    # ------------------------------------------------------------ comparing two replicas
-
-    def sums(self) -> list[str]:
-        """A sum over each bucket; equal replicas have equal sums."""
-        return [self._sum(b) for b in self._buckets]
-
-    def _sum(self, bucket: dict[str, Entry]) -> str:
-        if not bucket:
-            return ""
-        total = 0
-        for key, entry in bucket.items():
-            total ^= int.from_bytes(blake2b(f"{key} {entry.mark}".encode(), digest_size=8).digest(), "big")
-        return f"{total:x}"
-
-    def differing(self, sums: list[str]) -> list[int]:
-        return [i for i, (mine, theirs) in enumerate(zip(self.sums(), sums, strict=True)) if mine != theirs]
-
-    def marks(self, bucket: int) -> dict[str, str]:
-        return {k: e.mark for k, e in self._buckets[bucket].items()}
-
-    def missing(self, bucket: int, marks: dict[str, str]) -> tuple[list[Entry], list[str]]:
-        """What the other replica seems to lack of a bucket, and the keys that are to be asked for. Of a key
-        that both hold differently each sends its own: the later one wins at both."""
-        mine = self._buckets[bucket]
-        lacks = [e for k, e in mine.items() if marks.get(k) != e.mark]
-        wanted = [k for k, mark in marks.items() if k not in mine or mine[k].mark != mark]
-        return lacks, wanted
+    # ------------------------------------------------------------ comparison with a peer
+
+    def bucket_digests(self) -> list[str]:
+        """Return a digest of each bucket; equal replicas have equal digests."""
+        return [_bucket_digest(bucket) for bucket in self._buckets]
+
+    def differing_buckets(self, digests: list[str]) -> list[int]:
+        """Return the numbers of the buckets whose digest differs from the peer's."""
+        pairs = zip(self.bucket_digests(), digests, strict=True)
+        return [number for number, (own, other) in enumerate(pairs) if own != other]
+
+    def version_summary(self, bucket: int) -> dict[str, str]:
+        """Return the version digest of each entry in a bucket, by key."""
+        return {key: entry.version_digest for key, entry in self._buckets[bucket].items()}
+
+    def compare_bucket(self, bucket: int, versions: dict[str, str]) -> BucketDifference:
+        """Compare a bucket with a peer's version summary.
+
+        Of a key that both hold in different versions each sends its own; the later one wins at both.
+        """
+        own = self._buckets[bucket]
+        to_send = [entry for key, entry in own.items() if versions.get(key) != entry.version_digest]
+        to_request = [key for key, digest in versions.items() if key not in own or own[key].version_digest != digest]
+        return BucketDifference(to_send, to_request)
+
+
+def _check_node(node: str) -> None:
+    if not NODE_PATTERN.fullmatch(node):
+        raise StoreError("node", f"{node!r:.60} is not a name")
+
+
+def _check_value(value: str | None) -> None:
+    try:
+        size = len(orjson.dumps(value))
+    except orjson.JSONEncodeError:
+        raise StoreError("value", "not text") from None
+    if size > MAX_VALUE_BYTES:
+        raise StoreError("value", f"over {MAX_VALUE_BYTES} bytes")
+
+
+def _bucket_digest(bucket: dict[str, Entry]) -> str:
+    if not bucket:
+        return ""
+    digest = 0
+    for key, entry in bucket.items():
+        hashed = blake2b(f"{key} {entry.version_digest}".encode(), digest_size=DIGEST_BYTES).digest()
+        digest ^= int.from_bytes(hashed, "big")
+    return f"{digest:x}"
