--- a/aspensaddle/__main__.py
+++ b/aspensaddle/__main__.py
@@ -22,7 +22,7 @@
 from aspensaddle.daemon.process import serve
 from aspensaddle.frontends.quic.settings import QuicSettings, load_quic
 from aspensaddle.store.settings import StoreSettings, load_store
-from aspensaddle.support.files import ConfigError
+from aspensaddle.support.config_errors import ConfigError
 from aspensaddle.support.log import Log
 
 DEFAULT_QUIC_FILE = "deploy/quic.toml"
--- a/aspensaddle/conformance/front.py
+++ b/aspensaddle/conformance/front.py
@@ -186,7 +186,7 @@
     """A log that nobody reads."""
 
     def event(self, event: str, **fields: Any) -> None: ...
-    def seldom(self, event: str, **fields: Any) -> None: ...
+    def rate_limited_event(self, event: str, **fields: Any) -> None: ...
 
 
 class MemoryFront:
@@ -300,7 +300,7 @@
         self.driver.update_endpoints(update.scope, self.fleet.apply(update))
 
     def configure(self, toml: str) -> bool:
-        from aspensaddle.support.files import ConfigError
+        from aspensaddle.support.config_errors import ConfigError
 
         try:
             loaded = load_quic(self._file(toml), CLASSES)
--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -11,7 +11,8 @@
 from aspensaddle.core.settings_parser import parse_settings
 from aspensaddle.discovery.endpoint_update import EndpointListUpdate, parse_endpoint_list
 from aspensaddle.support.address import Address, parse_address
-from aspensaddle.support.files import ConfigError, load_json
+from aspensaddle.support.config_errors import InvalidFileError, MissingVariableError, UnreadableFileError
+from aspensaddle.support.files import load_json
 from aspensaddle.support.hashing import stable_hash
 from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, integer, number, obj, text
 
@@ -177,20 +178,22 @@
         """Read the file and decode it.
 
         Raises:
-            ConfigError: If it can't be read or used.
+            MissingVariableError: If the variable is not set.
+            UnreadableFileError: If the file can't be read.
+            InvalidFileError: If its content can't be used.
         """
         path = self._environ.get(CONFIG_VARIABLE)
         if not path:
-            raise ConfigError(f"{CONFIG_VARIABLE} is not set: it names the configuration file")
+            raise MissingVariableError(CONFIG_VARIABLE, "it names the configuration file")
         try:
             message = _read_json_file(path)
             overrides = self._find_overrides(message) if self._overrides is None else self._overrides
             config = parse_config({**message, **overrides})
             config = replace(config, settings=load_machines(self._environ).into(config.settings))
         except OSError as error:
-            raise ConfigError(f"{CONFIG_VARIABLE}: {path}: {error.strerror}") from None
+            raise UnreadableFileError(f"{CONFIG_VARIABLE}: {path}", error.strerror) from None
         except DecodeError as error:
-            raise ConfigError(f"{path}: {error}") from None
+            raise InvalidFileError(path, str(error)) from None
         self._overrides = overrides
         return config
 
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -11,7 +11,7 @@
 
 from aspensaddle.daemon.config import Config, ConfigSource
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.files import ConfigError
+from aspensaddle.support.config_errors import ConfigError, RestartRequiredError
 from aspensaddle.support.log import Log
 
 # Fields on which the process, or the numbers of everything in flight, are built.
@@ -86,7 +86,7 @@
         """Return the new configuration as far as it can be applied, and the names of the fields that need a restart.
 
         Raises:
-            ConfigError: If a request class of the old configuration is missing or has another number.
+            RestartRequiredError: If a request class of the old configuration is missing or has another number.
         """
         old = self.config
         self._check_request_classes(new)
@@ -105,8 +105,8 @@
         # Requests in flight, and the QUIC front end, refer to a class by its number.
         classes = self.config.classes
         if list(new.classes.items())[: len(classes)] != list(classes.items()):
-            raise ConfigError(
-                f"settings.lanes: must begin with {', '.join(classes)}; only a restart can remove or reorder them"
+            raise RestartRequiredError(
+                "settings.lanes", f"must begin with {', '.join(classes)}; only a restart can remove or reorder them"
             )
 
 
--- a/aspensaddle/frontends/line_protocol/clients.py
+++ b/aspensaddle/frontends/line_protocol/clients.py
@@ -24,7 +24,7 @@
 from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.frontends.line_protocol.servers import Failed, Servers, Up, first_word
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.event_loop_lag import Lateness
+from aspensaddle.support.event_loop_lag import EventLoopLagMonitor
 from aspensaddle.support.log import Log
 from aspensaddle.support.sockets import Listener
 
@@ -69,7 +69,7 @@
     ) -> None:
         self.driver, self.servers, self.fleet = driver, servers, fleet
         self.counters, self.log = counters, log
-        self.lateness = Lateness()
+        self.lateness = EventLoopLagMonitor()
         self.placing: dict[str, Pending] = {}  # no answer is decided yet
         self.standing: dict[str, Pending] = {}
         self.newcomers = True  # False: they are refused, as the process ends
@@ -170,7 +170,7 @@
                 raise BadOpen("commands that did not wait for an answer")
         except (BadOpen, TooLong) as e:
             self.counters.add("bad first lines")
-            self.log.seldom("bad first line", why=str(e) or "too long")
+            self.log.rate_limited_event("bad first line", why=str(e) or "too long")
             return Ending(b"ERR\r\n")
         if opened is None:
             return Ending()  # no whole line, no request
--- a/aspensaddle/frontends/quic/front.py
+++ b/aspensaddle/frontends/quic/front.py
@@ -101,7 +101,7 @@
 
     def _fault(self, e: Exception) -> None:
         self.counters.add("faults")
-        self.log.seldom("fault", error=repr(e))
+        self.log.rate_limited_event("fault", error=repr(e))
 
     # ------------------------------------------------------------ time
 
--- a/aspensaddle/frontends/quic/placing.py
+++ b/aspensaddle/frontends/quic/placing.py
@@ -87,7 +87,7 @@
             taken = placing.flight.take(data, packets, opened)
         except HelloError as e:
             self.ctx.counters.add("quic bad hellos")
-            self.ctx.log.seldom("quic bad hello", why=str(e))
+            self.ctx.log.rate_limited_event("quic bad hello", why=str(e))
             self._close(session, placing, CRYPTO_BUFFER_EXCEEDED, b"", "quic failed")
             return
         if taken is Taken.DROPPED:
--- a/aspensaddle/store/__main__.py
+++ b/aspensaddle/store/__main__.py
@@ -20,7 +20,7 @@
 from aspensaddle.store.settings import StoreSettings, load_store
 from aspensaddle.store.state import StoreError
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.files import ConfigError
+from aspensaddle.support.config_errors import ConfigError
 
 AGREEMENT_TIMEOUT_SECONDS = 5.0
 POLL_SECONDS = 0.01
--- a/aspensaddle/support/__init__.py
+++ b/aspensaddle/support/__init__.py
@@ -1,1 +1,1 @@
-"""What every part may use and what knows no part: checked values, files, addresses, the log, counters."""
+"""Helpers without knowledge of any part: validated values, files, addresses, sockets, the log and counters."""
--- a/aspensaddle/support/address.py
+++ b/aspensaddle/support/address.py
@@ -1,14 +1,26 @@
-"""Addresses as files write them."""
+"""Network addresses as files write them."""
 
 from __future__ import annotations
 
 from aspensaddle.support.json_fields import DecodeError
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port
+
+PORT_COUNT = 65536
 
 
 def parse_address(value: str, name: str) -> Address:
+    """Decode HOST:PORT.
+
+    Args:
+        value: The text.
+        name: The name of the field, for the error.
+
+    Raises:
+        DecodeError: If the text is no address.
+    """
     host, colon, port = value.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    is_number = port.isascii() and port.isdigit()
+    if not colon or not host or not is_number or not 0 < int(port) < PORT_COUNT:
         raise DecodeError(f"{name} must be HOST:PORT, not {value!r:.60}")
     return host, int(port)
--- a/aspensaddle/support/counters.py
+++ b/aspensaddle/support/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the program takes in, sends and answers."""
+"""Counters of what the program receives, sends and answers."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class Counters(Counter[str]):
-    """Counts by name; a name is counted from nothing on its first use."""
+    """Counts by name; a name starts at zero on its first use."""
 
     def add(self, name: str, count: int = 1) -> None:
+        """Increase a counter."""
         self[name] += count
 
     def report(self) -> dict[str, int]:
+        """Return all counters, sorted by name."""
         return dict(sorted(self.items()))
--- a/aspensaddle/support/event_loop_lag.py
+++ b/aspensaddle/support/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""How late this process comes to what has arrived, seen from its event loop."""
+"""Measures how late this process comes to what has arrived, from the passes of its event loop."""
 
 from __future__ import annotations
 
@@ -6,41 +6,57 @@
 
 import trio
 
-SLEPT = 1e-3  # seconds; a wait shorter than this is held to have found what was there already
-HALVES_IN = 0.5  # seconds in which what was seen counts half as much
+SLEEP_THRESHOLD_SECONDS = 1e-3  # a shorter I/O wait found what was there already
+LAG_HALF_LIFE_SECONDS = 0.5  # the longest pass seen counts half as much after this time
 
 
-class Lateness(trio.abc.Instrument):
-    """One loop's passes. What a wait finds came at its end, if it slept; else, at the earliest, after the wait
-    before it. Cost: two clock readings a pass."""
+class EventLoopLagMonitor(trio.abc.Instrument):
+    """Times the passes of one event loop, at the cost of two clock readings a pass.
+
+    What an I/O wait returns arrived at its end if the wait slept; otherwise, at the earliest, after the wait before.
+
+    Attributes:
+        since: The earliest time at which what the last I/O wait returned can have arrived.
+        passes: How many passes were seen.
+    """
 
     def __init__(self) -> None:
-        self.since = self._woke = self._before = 0.0
+        self.since = 0.0
         self.passes = 0
-        self._worst = self._worst_at = 0.0
+        self._wait_ended = 0.0
+        self._wait_began = 0.0
+        self._longest_pass = 0.0
+        self._longest_pass_at = 0.0
 
     def begin(self) -> None:
-        """Within the loop, which is seen from here on."""
-        self.since = self._woke = self._before = self._worst_at = trio.current_time()
+        """Watch the loop that calls this, from now on."""
+        now = trio.current_time()
+        self.since = self._wait_ended = self._wait_began = self._longest_pass_at = now
         trio.lowlevel.add_instrument(self)
 
     def end(self) -> None:
+        """Watch the loop no more."""
         trio.lowlevel.remove_instrument(self)
 
     def before_io_wait(self, timeout: float) -> None:
-        self._before = now = trio.current_time()
-        if (busy := now - self._woke) > self._faded(now):
-            self._worst, self._worst_at = busy, now
+        """Note the end of a pass."""
+        now = trio.current_time()
+        self._wait_began = now
+        if (duration := now - self._wait_ended) > self._decayed_longest_pass(now):
+            self._longest_pass = duration
+            self._longest_pass_at = now
 
     def after_io_wait(self, timeout: float) -> None:
+        """Note the beginning of a pass."""
         now = trio.current_time()
         self.passes += 1
-        self.since = now if now - self._before > SLEPT else self._woke  # the earliest that it can have come
-        self._woke = now
+        has_slept = now - self._wait_began > SLEEP_THRESHOLD_SECONDS
+        self.since = now if has_slept else self._wait_ended
+        self._wait_ended = now
 
     def recent(self, now: float) -> float:
-        """How long a pass has taken of late, at worst, the one that is on included."""
-        return max(now - self._woke, self._faded(now))
+        """Return the longest recent pass in seconds, the current one included."""
+        return max(now - self._wait_ended, self._decayed_longest_pass(now))
 
-    def _faded(self, now: float) -> float:
-        return self._worst * math.exp2((self._worst_at - now) / HALVES_IN)
+    def _decayed_longest_pass(self, now: float) -> float:
+        return self._longest_pass * math.exp2((self._longest_pass_at - now) / LAG_HALF_LIFE_SECONDS)
--- a/aspensaddle/support/json_fields.py
+++ b/aspensaddle/support/json_fields.py
@@ -1,4 +1,8 @@
-"""JSON values to typed ones: field by field, with a message that names the field."""
+"""Validates the fields of decoded JSON or TOML, one by one, with errors that name the field.
+
+Each function returns the field of a message in the named type. A missing field and null count as the default; without
+a default they are an error. All raise `DecodeError` for a value of another type.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +12,20 @@
 
 
 class DecodeError(Exception):
-    """A value that is not what it should be; the text names the field."""
+    """A value that is not valid; the text begins with the name of the field."""
+
+    @property
+    def field(self) -> str:
+        """The name of the field, such as `ids[1].key`: the first word of the text."""
+        return str(self).split(" ", 1)[0].rstrip(":")
 
 
 _MISSING = object()
 
 
-def raw(m: Message, name: str, default: Any) -> Any:
-    """A field as it stands; null and a missing one are the default."""
-    value = m.get(name)
+def raw(message: Message, name: str, default: Any) -> Any:
+    """Return a field of any type."""
+    value = message.get(name)
     if value is None:
         if default is _MISSING:
             raise DecodeError(f"{name} is missing")
@@ -24,50 +33,57 @@
     return value
 
 
-def number(m: Message, name: str, default: Any = _MISSING) -> Any:
-    value = raw(m, name, default)
+def number(message: Message, name: str, default: Any = _MISSING) -> Any:
+    """Return a number, an integer or a float."""
+    value = raw(message, name, default)
     if type(value) is float or type(value) is int or value is default:
         return value
     raise DecodeError(f"{name} must be a number, not {value!r:.60}")
 
 
-def integer(m: Message, name: str, default: Any = _MISSING) -> Any:
-    value = raw(m, name, default)
+def integer(message: Message, name: str, default: Any = _MISSING) -> Any:
+    """Return an integer."""
+    value = raw(message, name, default)
     if type(value) is int or value is default:
         return value
     raise DecodeError(f"{name} must be an integer, not {value!r:.60}")
 
 
-def text(m: Message, name: str) -> str:
-    value = raw(m, name, _MISSING)
+def text(message: Message, name: str) -> str:
+    """Return a string, which has no default."""
+    value = raw(message, name, _MISSING)
     if type(value) is str:
         return value
     raise DecodeError(f"{name} must be a string, not {value!r:.60}")
 
 
-def flag(m: Message, name: str, default: Any = False) -> bool:
-    value = raw(m, name, default)
+def flag(message: Message, name: str, default: Any = False) -> bool:
+    """Return a boolean."""
+    value = raw(message, name, default)
     if type(value) is bool:
         return value
     raise DecodeError(f"{name} must be true or false, not {value!r:.60}")
 
 
-def array(m: Message, name: str, default: Any = _MISSING) -> list[Any]:
-    value = raw(m, name, default)
+def array(message: Message, name: str, default: Any = _MISSING) -> list[Any]:
+    """Return a list."""
+    value = raw(message, name, default)
     if type(value) is list:
         return value
     raise DecodeError(f"{name} must be an array, not {value!r:.60}")
 
 
-def obj(m: Message, name: str, default: Any = _MISSING) -> Message:
-    value = raw(m, name, default)
+def obj(message: Message, name: str, default: Any = _MISSING) -> Message:
+    """Return an object."""
+    value = raw(message, name, default)
     if type(value) is dict:
         return value
     raise DecodeError(f"{name} must be an object, not {value!r:.60}")
 
 
-def word(m: Message, name: str, table: dict[str, Any], default: Any = _MISSING) -> Any:
-    value = raw(m, name, default)
+def word(message: Message, name: str, table: dict[str, Any], default: Any = _MISSING) -> Any:
+    """Return the value that a table gives for one of its words."""
+    value = raw(message, name, default)
     if type(value) is str and value in table:
         return table[value]
     if value is default:
@@ -76,6 +92,7 @@
 
 
 def as_object(value: Any, where: str) -> Message:
+    """Return a value that must be an object; `where` names the field that holds it."""
     if type(value) is not dict:
         raise DecodeError(f"{where} must hold objects, not {value!r:.60}")
     return value
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -1,7 +1,7 @@
-"""The log: one JSON line an event on standard output.
+"""The log: one JSON line for each event on standard output.
 
-Lines are handed to a thread through a bounded queue, so that a reader who is slow, or gone, never holds up
-the balancer: what does not fit is dropped and counted.
+A thread writes the lines from a bounded queue, so that a slow or absent reader never blocks the balancer. Lines that
+do not fit into the queue are dropped and counted.
 """
 
 from __future__ import annotations
@@ -10,36 +10,49 @@
 import queue
 import threading
 import time
+from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-BACKLOG = 2000
-FLUSH_WITHIN = 0.5  # at exit
-SELDOM = 1.0  # seconds between two events of a kind that others can cause at will
+MAX_QUEUED_LINES = 2000
+FLUSH_TIMEOUT_SECONDS = 0.5  # at exit
+RATE_LIMIT_INTERVAL_SECONDS = 1.0  # between two events of a kind that others can cause at will
 
 
 class Log:
+    """Writes events to a file descriptor.
+
+    Attributes:
+        name: The balancer's name, a field of each line.
+        dropped: How many lines were dropped.
+    """
+
     def __init__(self, name: str, fd: int = 1) -> None:
-        self.name, self.dropped = name, 0
+        self.name = name
+        self.dropped = 0
         self._fd = fd
-        self._queue: queue.Queue[bytes | None] = queue.Queue(BACKLOG)
-        self._thread = threading.Thread(target=self._write, name="log", daemon=True)
+        self._queue: queue.Queue[bytes | None] = queue.Queue(MAX_QUEUED_LINES)
+        self._thread = threading.Thread(target=self._write_lines, name="log", daemon=True)
         self._thread.start()
-        self._seldom: dict[str, tuple[float, int]] = {}  # when last written, and how often passed over since
+        self._rate_limits: dict[str, _RateLimit] = {}
+
+    def rate_limited_event(self, event: str, **fields: Any) -> None:
+        """Log an event that others can cause at will.
 
-    def seldom(self, event: str, **fields: Any) -> None:
-        """An event that others can cause at will: at most one is written in a while, with the count of those
-        passed over since the last. Guards against a log that costs more than what it tells of."""
+        At most one of a kind is written in `RATE_LIMIT_INTERVAL_SECONDS`, with the count of those suppressed before.
+        """
         now = time.monotonic()
-        written, passed = self._seldom.get(event, (-SELDOM, 0))
-        if now < written + SELDOM:
-            self._seldom[event] = written, passed + 1
+        limit = self._rate_limits.setdefault(event, _RateLimit())
+        if now < limit.written_at + RATE_LIMIT_INTERVAL_SECONDS:
+            limit.suppressed += 1
             return
-        self._seldom[event] = now, 0
-        self.event(event, **fields, passed_over=passed)
+        suppressed = limit.suppressed
+        self._rate_limits[event] = _RateLimit(written_at=now)
+        self.event(event, **fields, passed_over=suppressed)
 
     def event(self, event: str, **fields: Any) -> None:
+        """Log an event. Values that JSON does not know are written as text."""
         line = orjson.dumps(
             {"t": round(time.time(), 4), "name": self.name, "event": event, **fields},
             default=str,
@@ -51,14 +64,14 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what is queued, but wait only so long for whoever reads it."""
+        """Write what is queued, and wait for it no longer than `FLUSH_TIMEOUT_SECONDS`."""
         try:
-            self._queue.put(None, timeout=FLUSH_WITHIN)
+            self._queue.put(None, timeout=FLUSH_TIMEOUT_SECONDS)
         except queue.Full:
             return
-        self._thread.join(FLUSH_WITHIN)
+        self._thread.join(FLUSH_TIMEOUT_SECONDS)
 
-    def _write(self) -> None:
+    def _write_lines(self) -> None:
         while (line := self._queue.get()) is not None:
             while line:
                 try:
@@ -66,3 +79,11 @@
                 except OSError:  # the reader is gone: the balancer goes on without a log
                     self.dropped += 1
                     break
+
+
+@dataclass(slots=True)
+class _RateLimit:
+    """When an event of a kind was last written, in seconds, and how many were suppressed since."""
+
+    written_at: float = float("-inf")
+    suppressed: int = 0
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -91,7 +91,7 @@
         )
         self.runners, self.events = runners, list[tuple[str, dict[str, Any]]]()
         log = SimpleNamespace(
-            event=lambda name, **more: self.events.append((name, more)), seldom=lambda name, **more: None
+            event=lambda name, **more: self.events.append((name, more)), rate_limited_event=lambda name, **more: None
         )
         services = SimpleNamespace(
             watch_endpoints=lambda: None, check_health=lambda server: None, timers_changed=lambda: None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -217,8 +217,8 @@
     clock = SimpleNamespace(now=100.0)
     monkeypatch.setattr("aspensaddle.support.log.time.monotonic", lambda: clock.now)
     for _ in range(5):
-        log.seldom("x", n=1)
+        log.rate_limited_event("x", n=1)
     clock.now += 1.5
-    log.seldom("x", n=2)
+    log.rate_limited_event("x", n=2)
     log.close()
     assert lines == [("x", {"n": 1, "passed_over": 0}), ("x", {"n": 2, "passed_over": 4})]
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,7 +12,7 @@
 
 from aspensaddle.core.machine_types import load_machines
 from aspensaddle.simulator_adapter.host import Host
-from aspensaddle.support.files import ConfigError
+from aspensaddle.support.config_errors import ConfigError
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_quic_parsers.py
+++ b/tests/test_quic_parsers.py
@@ -12,7 +12,8 @@
 from aspensaddle.frontends.quic.initial import InitialKeys
 from aspensaddle.frontends.quic.packets import Malformed, long_packets, negotiated_away, parse_invariants
 from aspensaddle.frontends.quic.settings import load_quic
-from aspensaddle.support.files import ConfigError, line_of
+from aspensaddle.support.config_errors import ConfigError
+from aspensaddle.support.toml_lines import line_of
 
 CLASSES = {"test-run": 0, "draft-save": 1}
 TOML = """enabled = true
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,7 +15,7 @@
 from aspensaddle.daemon.config import ConfigSource
 from aspensaddle.discovery.watcher import EndpointWatcher
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.files import ConfigError
+from aspensaddle.support.config_errors import ConfigError
 
 
 def settings(**more):
