--- a/aspensaddle/conformance/front.py
+++ b/aspensaddle/conformance/front.py
@@ -159,14 +159,14 @@
     def lists(self, targets: list[dict[str, Any]]) -> None:
         self._config["known"] = {"rev": 1, "all": True, "targets": targets}
         self._write()
-        self._told(signal.SIGHUP, "reloaded", "reload refused")
+        self._told(signal.SIGHUP, "config_reloaded", "reload_rejected")
 
     def configure(self, toml: str) -> bool:
         self._write(toml)
-        return bool(self._told(signal.SIGHUP, "reloaded", "reload refused")["event"] == "reloaded")
+        return bool(self._told(signal.SIGHUP, "config_reloaded", "reload_rejected")["event"] == "config_reloaded")
 
     def counts(self) -> dict[str, int]:
-        counts: dict[str, int] = self._told(signal.SIGUSR1, "counters")["counts"]
+        counts: dict[str, int] = self._told(signal.SIGUSR1, "counters_reported")["counts"]
         return counts
 
     def terminate(self) -> None:
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -105,7 +105,7 @@
                     bed = Bed(spec, Path(folder) / str(n), memory, seed)
                 bed.begin()
                 c.run(bed)
-                if faults := bed.counted("faults"):
+                if faults := bed.counted("faults") + bed.counted("internal_errors"):
                     raise Failed(f"{faults} faults in the front")
             except NotApplicable as e:
                 verdict, why = NOT_APPLICABLE, str(e)
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -63,20 +63,20 @@
 
     def reload(self) -> None:
         """Read everything anew and apply it, or log why it is rejected."""
-        self._counters.add("reloads")
+        self._counters.add("reloads_requested")
         try:
             config, needs_restart = self._keep_fixed_fields(self._read())
             prepared = [prepare(config) for prepare in self._operator_files]
         except ConfigError as error:
-            self._counters.add("reloads refused")
-            self._log.event("reload refused", why=str(error))
+            self._counters.add("reloads_rejected")
+            self._log.event("reload_rejected", error=str(error))
             return
         changed = _differing_fields(config, self.config, CHANGEABLE_FIELDS)
         self._apply(config)
         self.config = config
         for apply_file in prepared:
             needs_restart += apply_file()
-        self._log.event("reloaded", changed=changed, needs_restart=needs_restart, discovery=config.discovery)
+        self._log.event("config_reloaded", changed=changed, needs_restart=needs_restart, discovery=config.discovery)
 
     def _read(self) -> Config:
         config = self._source.read()
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -153,10 +153,10 @@
     def _log_start(self) -> None:
         known = self._config.known
         self._log.event(
-            "started",
+            "daemon_started",
             listen=self._config.listen,
-            rev=known.revision,
-            runners=[[record.uid, record.weight, record.machine_type] for record in known.endpoints],
+            revision=known.revision,
+            endpoints=[[record.uid, record.weight, record.machine_type] for record in known.endpoints],
         )
 
     async def _handle_signals(self, signals: AsyncIterator[int], listener: Listener) -> None:
@@ -182,9 +182,9 @@
         lag = self._clients.lateness.recent(trio.current_time())
         phases = ShutdownPhases.from_settings(self._config.settings, lag)
         self._log.event(
-            "stopping",
-            standing=len(self._clients.standing),
-            placing=len(self._clients.placing),
+            "shutdown_started",
+            connections=len(self._clients.standing),
+            requests=len(self._clients.placing),
             phases=asdict(phases),
         )
         try:
@@ -197,12 +197,12 @@
         """Log all counters and what is known of each server."""
         servers = self._driver.server_snapshots()
         self._log.event(
-            "counters",
-            standing=len(self._clients.standing),
-            open=self._clients.admission.open,
-            log_dropped=self._log.dropped,
+            "counters_reported",
+            connections=len(self._clients.standing),
+            sockets=self._clients.admission.open,
+            log_lines_dropped=self._log.dropped,
             counts=self._counters.report(),
-            runners={self._registry.uid(server): asdict(snapshot) for server, snapshot in servers.items()},
+            servers={self._registry.uid(server): asdict(snapshot) for server, snapshot in servers.items()},
         )
 
     # ------------------------------------------------------------ reload
--- a/aspensaddle/daemon/store_integration.py
+++ b/aspensaddle/daemon/store_integration.py
@@ -73,7 +73,7 @@
     try:
         return with_settings(config, load_json(value.encode()))
     except DecodeError as error:
-        log.event("stored settings refused", why=str(error))
+        log.event("stored_settings_rejected", error=str(error))
         return config
 
 
@@ -96,7 +96,7 @@
         if any(entry.key.startswith(ENDPOINT_KEY_PREFIX) for entry in entries):
             self._changed.set()
         if any(entry.key == SETTINGS_KEY for entry in entries):
-            self._log.event("stored settings changed", note="in force from the next start or reload")
+            self._log.event("stored_settings_changed", note="in force from the next start or reload")
 
     async def watch(self) -> None:
         """Pass the list on now and after each change; a second call replaces the first."""
@@ -116,13 +116,13 @@
         """
         stored = parse_stored_endpoints(self._replica.state.values(ENDPOINT_KEY_PREFIX))
         for error in stored.errors:
-            self._counters.add("store runners refused")
-            self._log.event("stored runner refused", why=error)
+            self._counters.add("stored_endpoints_rejected")
+            self._log.event("stored_endpoint_rejected", error=error)
         update = stored.update
         if not update.endpoints:
             return False
-        self._counters.add("lists")
+        self._counters.add("endpoint_updates_applied")
         endpoints = [[record.uid, record.state.value] for record in update.endpoints]
-        self._log.event("list", rev=update.revision, full=update.complete, targets=endpoints)
+        self._log.event("endpoints_updated", revision=update.revision, complete=update.complete, endpoints=endpoints)
         self._driver.update_endpoints(update.scope, self._registry.apply(update))
         return True
--- a/aspensaddle/discovery/watcher.py
+++ b/aspensaddle/discovery/watcher.py
@@ -146,7 +146,7 @@
             with trio.move_on_after(watch_policy.HEDGE_DELAY_SECONDS):
                 await first.answered.wait()
             if not first.answered.is_set() and not self.is_local_agent:
-                self._counters.add("discovery calls beside one that hangs")
+                self._counters.add("discovery_calls_hedged")
                 second = self._new_call()
                 calls.append(second)
                 nursery.start_soon(self._run_call, second)
@@ -161,7 +161,7 @@
 
     async def _run_call(self, call: WatchCall) -> None:
         """Run a call to its end and record how it ended."""
-        self._counters.add("discovery calls")
+        self._counters.add("discovery_calls_started")
         self._calls.append(call)
         try:
             with call.scope:
@@ -170,7 +170,7 @@
                     is_local_agent=self.is_local_agent,
                     on_value=partial(self._handle_value, call),
                 )
-                self._log.event("discovery ended", target=call.target)
+                self._log.event("discovery_call_ended", target=call.target)
         except Exception as error:
             self._record_failure(call, error)
         finally:
@@ -179,8 +179,8 @@
 
     def _record_failure(self, call: WatchCall, error: Exception) -> None:
         call.timed_out = isinstance(error, WatchTimeoutError)
-        self._counters.add("discovery failures")
-        self._log.event("discovery failed", target=call.target, why=str(error))
+        self._counters.add("discovery_calls_failed")
+        self._log.event("discovery_call_failed", target=call.target, error=str(error))
         if not isinstance(error, DiscoveryError | DecodeError):
             record_internal_error(error, self._counters, self._log)
 
@@ -201,11 +201,11 @@
 
     def _apply(self, call: WatchCall, update: EndpointListUpdate) -> None:
         if self._is_outdated(call, update):
-            self._counters.add("lists passed over")
+            self._counters.add("endpoint_updates_ignored")
             return
         if update.endpoints or update.complete:
             self._log_update(update)
-        self._counters.add("lists")
+        self._counters.add("endpoint_updates_applied")
         self._driver.update_endpoints(update.scope, self._registry.apply(update))
         # Only now: an update that an internal error lost must be asked for again.
         self.revision = update.revision
@@ -226,4 +226,4 @@
             [record.uid, record.state.value, record.started_at, record.weight, record.machine_type]
             for record in update.endpoints
         ]
-        self._log.event("list", rev=update.revision, full=update.complete, targets=endpoints)
+        self._log.event("endpoints_updated", revision=update.revision, complete=update.complete, endpoints=endpoints)
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -118,15 +118,15 @@
         try:
             message = decode_datagram(self.settings.key, unix_ms(), data)
         except DecodeError:
-            self.counters.add("store datagrams refused")
+            self.counters.add("store_datagrams_rejected")
             return
-        self.counters.add("store datagrams in")
+        self.counters.add("store_datagrams_received")
         if message.node == self.node:
             return
         try:
             self._handle_message(message.node, message.body, peer)
         except Exception:  # an internal error costs one datagram, not the daemon
-            self.counters.add("faults")
+            self.counters.add("internal_errors")
 
     def _handle_message(self, node: str, body: Body, peer: Address) -> None:
         match body:
@@ -160,7 +160,7 @@
     def _handle_entries(self, body: EntryBatch) -> None:
         if merged := self.state.merge(body.entries):
             self.agreed.clear()
-            self.counters.add("store entries taken", len(merged))
+            self.counters.add("store_entries_merged", len(merged))
             self.changed(merged)
 
     def _send_digests(self, peer: Address) -> None:
@@ -173,10 +173,10 @@
     def _send(self, body: Body, peer: Address) -> None:
         data = encode_datagram(self.settings.key, self.node, unix_ms(), body)
         if len(data) > MAX_DATAGRAM_BYTES:  # every body is bounded below this
-            self.counters.add("store datagrams too large")
+            self.counters.add("store_datagrams_too_large")
             return
         try:
             self._socket.sendto(data, peer)
-            self.counters.add("store datagrams out")
+            self.counters.add("store_datagrams_sent")
         except OSError:
-            self.counters.add("store datagrams lost")
+            self.counters.add("store_datagrams_failed")
--- a/aspensaddle/support/internal_errors.py
+++ b/aspensaddle/support/internal_errors.py
@@ -13,5 +13,5 @@
 def record_internal_error(error: Exception, counters: Counters, log: Log) -> None:
     """Count an unexpected exception and log it with the end of its trace."""
     trace = "".join(traceback.format_exception(error))
-    counters.add("faults")
-    log.event("fault", error=repr(error), trace=trace[-MAX_TRACE_LENGTH:])
+    counters.add("internal_errors")
+    log.event("internal_error", error=repr(error), trace=trace[-MAX_TRACE_LENGTH:])
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -49,7 +49,7 @@
             return
         suppressed = limit.suppressed
         self._rate_limits[event] = _RateLimit(written_at=now)
-        self.event(event, **fields, passed_over=suppressed)
+        self.event(event, **fields, suppressed=suppressed)
 
     def event(self, event: str, **fields: Any) -> None:
         """Log an event. Values that JSON does not know are written as text."""
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -66,7 +66,7 @@
     open_: dict[tuple[str, str], Stay] = {}
     every = []
     for balancer, t, e in events(folder):
-        if e["event"] == "started":  # what a process held that ended without a word was lost with it
+        if e["event"] == "daemon_started":  # what a process held that ended without a word was lost with it
             for key in [key for key in open_ if key[0] == balancer]:
                 lost = open_.pop(key)
                 lost.end, lost.reason = t, "lost"
@@ -129,8 +129,8 @@
 def by_age(folder: Path) -> None:
     started: dict[str, float] = {}
     for _, t, e in events(folder):
-        if e["event"] == "list":
-            started.update({uid: boot - e["t"] + t for uid, _, boot, *_ in e["targets"] if boot})
+        if e["event"] == "endpoints_updated":
+            started.update({uid: boot - e["t"] + t for uid, _, boot, *_ in e["endpoints"] if boot})
     started = {uid: t for uid, t in started.items() if t > 0}
     every = [s for s in stays(folder) if s.server in started]
     mean = mean_load(every)
@@ -150,11 +150,11 @@
     """What each runner bears when warm, and when it started."""
     runners: dict[str, tuple[float, float]] = {}
     for _, t, e in events(folder):
-        if e["event"] == "started":
-            for uid, weight, model in e["runners"]:
+        if e["event"] == "daemon_started":
+            for uid, weight, model in e["endpoints"]:
                 runners.setdefault(uid, (weight * SPEEDS.get(model, 1.0), -WARM_AFTER))
-        elif e["event"] == "list":
-            for uid, _, boot, weight, model in e["targets"]:
+        elif e["event"] == "endpoints_updated":
+            for uid, _, boot, weight, model in e["endpoints"]:
                 since = boot - e["t"] + t if boot else -WARM_AFTER
                 if uid not in runners or since > runners[uid][1] + 1:
                     runners[uid] = weight * SPEEDS.get(model, 1.0), since
@@ -171,7 +171,7 @@
     """From when to when each runner of `bears` was ready by the list, as the first balancer was told."""
     first, left = dict[str, float](), dict[str, float]()
     for _, t, e in events(folder):
-        for uid, state, *_ in e["targets"] if e["event"] == "list" else ():
+        for uid, state, *_ in e["endpoints"] if e["event"] == "endpoints_updated" else ():
             if state == "ready":
                 first[uid] = min(t, first.get(uid, t))
             elif t >= fleet[uid][1]:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -280,7 +280,7 @@
         return event
 
     def _reloads(self) -> list[dict[str, Any]]:
-        return self.events("reloaded", "reload refused")
+        return self.events("config_reloaded", "reload_rejected")
 
     def start(self) -> None:
         environ = {
@@ -325,9 +325,9 @@
 
     def counts(self) -> dict[str, int]:
         """The counters, printed on request."""
-        seen = len(self.events("counters"))
+        seen = len(self.events("counters_reported"))
         self.process.send_signal(signal.SIGUSR1)
-        counts: dict[str, int] = until(lambda: self.events("counters")[seen:], "counters")[0]["counts"]
+        counts: dict[str, int] = until(lambda: self.events("counters_reported")[seen:], "counters")[0]["counts"]
         return counts
 
     def terminate(self) -> int:
@@ -400,7 +400,7 @@
         until(lambda: self.discovery.watches, "a watch")
         self.discovery.change(runner.target(state="leaving"))
         rev = self.discovery.rev
-        until(lambda: any(e["rev"] == rev for e in self.program.events("list")), "the drain")
+        until(lambda: any(e["revision"] == rev for e in self.program.events("endpoints_updated")), "the drain")
 
     def close(self) -> None:
         self.program.kill()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -42,7 +42,11 @@
     for c in silent:
         c.close()
     counts = w.program.counts()
-    assert counts["turned out"] >= 200 and "faults" not in counts and "accept EMFILE" not in counts
+    assert (
+        counts["turned out"] >= 200
+        and not {"faults", "internal_errors"} & set(counts)
+        and "accept EMFILE" not in counts
+    )
 
 
 def test_one_time_for_the_whole_stay_before_an_open(world):
@@ -221,4 +225,4 @@
     clock.now += 1.5
     log.rate_limited_event("x", n=2)
     log.close()
-    assert lines == [("x", {"n": 1, "passed_over": 0}), ("x", {"n": 2, "passed_over": 4})]
+    assert lines == [("x", {"n": 1, "suppressed": 0}), ("x", {"n": 2, "suppressed": 4})]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -40,7 +40,7 @@
         r.report = b"PONG inflight=1,x0=0.01\r\n"
     until(lambda: w.discovery.watches, "a watch")
     w.discovery.close()  # it is down: calls are refused
-    until(lambda: w.program.events("discovery failed"), "a call that failed")
+    until(lambda: w.program.events("discovery_call_failed"), "a call that failed")
     standing, resting = fill(w, 128)
     assert len(standing) >= (5 if "settings" in limit else 30)  # by their reports, probed runners are full before
     held = [w.program.descriptors()]
@@ -63,8 +63,8 @@
             c.close()
         thread.join(WAIT)
         assert ended == [0] and max(held) <= 128
-        counts = w.program.events("counters")[-1]["counts"]
-        assert not {n for n in counts if n.startswith(("accept E", "out of", "faults"))}
+        counts = w.program.events("counters_reported")[-1]["counts"]
+        assert not {n for n in counts if n.startswith(("accept E", "out of", "faults", "internal_errors"))}
     finally:
         new.close()
 
@@ -74,7 +74,7 @@
     w = world(files=96)
     until(lambda: w.discovery.watches, "a watch")
     w.discovery.close()
-    until(lambda: len(w.program.events("discovery failed")) > 1, "calls that failed")
+    until(lambda: len(w.program.events("discovery_call_failed")) > 1, "calls that failed")
     resting = [w.client() for _ in range(300)]
     new = Discovery([r.target() for r in w.runners])
     try:
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -175,7 +175,7 @@
 def test_an_agent_that_hangs_is_asked_anew_without_another_call_beside():
     async def script(p):
         await seen(lambda: p.told.lists)
-        assert "discovery calls beside one that hangs" not in p.calls._counters
+        assert "discovery_calls_hedged" not in p.calls._counters
 
     play(
         Scripted(hangs, hangs, follows(listed(9, "s-0"))),
@@ -378,7 +378,7 @@
     async def script(p):
         await seen(lambda: p.told.lists)
         assert p.server.calls[1].endswith("from=5") and p.told.revs == [6]
-        assert [more["error"] for name, more in p.events if name == "fault"]
+        assert [more["error"] for name, more in p.events if name == "internal_error"]
 
     play(Scripted(follows(listed(6, "s-0"))), script, rev=5, faults=1)
 
@@ -407,7 +407,7 @@
         p.server.go["change"].set()
         await seen(lambda: p.told.lists)
         p.server.go["later"].set()
-        await seen(lambda: p.calls._counters["lists passed over"])
+        await seen(lambda: p.calls._counters["endpoint_updates_ignored"])
         assert p.told.revs == [6] and p.calls.revision == 6
 
     def change(server, connection):
@@ -481,7 +481,7 @@
     new = Scripted(follows(listed(2, "new")))
 
     async def script(p):
-        await seen(lambda: [name for name, _ in p.events if name == "discovery failed"])
+        await seen(lambda: [name for name, _ in p.events if name == "discovery_call_failed"])
         await trio.testing.wait_all_tasks_blocked()
         p.calls.change_address(new.address)
         await seen(lambda: p.told.lists)
@@ -521,7 +521,7 @@
         until(lambda: new.calls, "a call at the new address")
         program.process.send_signal(signal.SIGTERM)
         assert program.process.wait(WAIT) == 0
-        assert "faults" not in program.events("counters")[0]["counts"]
+        assert not {"faults", "internal_errors"} & set(program.events("counters_reported")[0]["counts"])
     finally:
         program.kill()
         for s in (old, new, runner):
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -25,7 +25,7 @@
     return {"event": "ended", "id": id, "outcome": outcome, "load": load}
 
 
-STARTED = {"event": "started", "runners": [["a", 2.0, "any"], ["b", 2.0, "any"]]}
+STARTED = {"event": "daemon_started", "endpoints": [["a", 2.0, "any"], ["b", 2.0, "any"]]}
 LOGS = {
     "n0": [
         (0.5, STARTED),
@@ -33,9 +33,9 @@
         (
             2.0,
             {
-                "event": "list",
-                "full": False,
-                "targets": [["b", "draining", 0.0, 2.0, "any"], ["n", "ready", 101.0, 2.0, "any"]],
+                "event": "endpoints_updated",
+                "complete": False,
+                "endpoints": [["b", "draining", 0.0, 2.0, "any"], ["n", "ready", 101.0, 2.0, "any"]],
             },
         ),
         (3.0, up("y", "n", 7)),
@@ -47,7 +47,7 @@
         (15.0, up("w", "n", 8, why=None)),
         (16.2, STARTED),
         (17.0, up("v", "a", 7, key=ord("z"))),
-        (20.0, {"event": "counters"}),
+        (20.0, {"event": "counters_reported"}),
     ],
     "n1": [(0.5, STARTED), (16.5, up("u", "a", 7)), (18.5, ended("u", "broken"))],
 }
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,15 +18,15 @@
     w = world(settings={**SETTINGS, "discovery": "pushed"})
     until(lambda: w.discovery.watches, "a watch")
     w.discovery.change(w.runners[0].target(state="leaving"))
-    until(lambda: "draining" in str(w.program.events("list")), "the change")
+    until(lambda: "draining" in str(w.program.events("endpoints_updated")), "the change")
     for n in range(4):
         with w.client() as c:
             assert c.open(f"c=test-run,d=2500,g={n}") == b"UP s-1\r\n"
     w.discovery.mute = True
-    until(lambda: w.program.events("discovery failed"), "the silence")
+    until(lambda: w.program.events("discovery_call_failed"), "the silence")
     w.discovery.mute = False
     w.discovery.change(w.runners[0].target(), w.runners[1].target(state="leaving"))
-    until(lambda: '["s-1", "draining"' in json.dumps(w.program.events("list")), "the change")
+    until(lambda: '["s-1", "draining"' in json.dumps(w.program.events("endpoints_updated")), "the change")
 
 
 PROBING = {
@@ -66,7 +66,7 @@
     until(lambda: w.program.counts().get("probes", 0) >= 4, "probes")
     with w.client() as c:
         assert c.open("c=test-run,t=,d=2500,g=5").startswith(b"UP s-")
-    assert "faults" not in w.program.counts()
+    assert not {"faults", "internal_errors"} & set(w.program.counts())
 
 
 def test_a_connection_lives_from_open_to_bye(world):
@@ -128,7 +128,10 @@
             s.setblocking(False)
             s.connect_ex(full.getsockname())
         w.discovery.change(w.runners[0].target(endpoint=f"127.0.0.1:{full.getsockname()[1]}"))
-        until(lambda: w.discovery.watches and any(e["rev"] == 2 for e in w.program.events("list")), "the change")
+        until(
+            lambda: w.discovery.watches and any(e["revision"] == 2 for e in w.program.events("endpoints_updated")),
+            "the change",
+        )
         for _ in range(4):
             with w.client() as c:
                 assert c.open() == b"UP s-1\r\n"
@@ -176,7 +179,7 @@
         bad.send(line)
         assert bad.line() == b"ERR\r\n"
         assert good.open().startswith(b"UP ")
-    assert "faults" not in w.program.counts()
+    assert not {"faults", "internal_errors"} & set(w.program.counts())
 
 
 def test_half_closes_are_mirrored(world):
@@ -213,12 +216,12 @@
     w = world()
     until(lambda: w.discovery.watches, "a watch")
     w.discovery.change(w.runners[0].target(state="leaving"))
-    until(lambda: any(e["rev"] == 2 for e in w.program.events("list")), "the change")
+    until(lambda: any(e["revision"] == 2 for e in w.program.events("endpoints_updated")), "the change")
     for _ in range(6):
         with w.client() as c:
             assert c.open() == b"UP s-1\r\n"
     w.discovery.change(w.runners[0].target(state="active"), w.runners[1].target(state="left"))
-    until(lambda: any(e["rev"] == 3 for e in w.program.events("list")), "the change back")
+    until(lambda: any(e["revision"] == 3 for e in w.program.events("endpoints_updated")), "the change back")
     with w.client() as c:
         assert c.open() == b"UP s-0\r\n"
 
@@ -247,7 +250,7 @@
     ended = []
     thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
     thread.start()
-    until(lambda: w.program.events("stopping"), "the signal")
+    until(lambda: w.program.events("shutdown_started"), "the signal")
     with w.client() as late:
         assert late.open().startswith(b"BUSY ")
     for c in standing:
@@ -255,7 +258,7 @@
         c.close()
     thread.join(WAIT)
     assert ended == [0]
-    (counters,) = w.program.events("counters")  # printed at exit
+    (counters,) = w.program.events("counters_reported")  # printed at exit
     assert counters["counts"]["moved"] == 5
 
 
@@ -274,7 +277,7 @@
 
     until(room, "room again")
     counts = w.program.counts()
-    assert "faults" not in counts and "out of descriptors" not in counts
+    assert not {"faults", "internal_errors"} & set(counts) and "out of descriptors" not in counts
 
 
 def test_more_connections_than_descriptors_wait_their_turn(world):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -62,13 +62,13 @@
         until(lambda: w.new.watches, "a watch at the new address")
         assert standing.echo(b"M 1") == b"M 1\r\n"
         w.new.change(w.runners[0].target(state="leaving"))
-        until(lambda: any(e["rev"] == 2 for e in w.program.events("list")), "news from there")
+        until(lambda: any(e["revision"] == 2 for e in w.program.events("endpoints_updated")), "news from there")
         for _ in range(4):
             with Client(w.program.address) as c:
                 assert c.open() == b"UP s-1\r\n"
         assert standing.echo(b"M 2") == b"M 2\r\n"
     counts = w.program.counts()
-    assert counts["answers UP"] == 5 and counts["reloads"] == 1  # counted on, not anew
+    assert counts["answers UP"] == 5 and counts["reloads_requested"] == 1  # counted on, not anew
 
 
 def test_a_bad_file_is_named_and_the_old_one_stays_in_force(world):
@@ -81,15 +81,15 @@
         ({"settings": settings(limits={"connect-timeout": -1})}, "limits.connect-timeout"),
     ):
         event = w.program.reload(**{**good, **change})
-        assert event["event"] == "reload refused" and field in event["why"]
+        assert event["event"] == "reload_rejected" and field in event["error"]
     (w.program.folder / "config.json").write_text("{")
     w.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("not JSON" in e["why"] for e in w.program.events("reload refused")), "the fifth")
+    until(lambda: any("not JSON" in e["error"] for e in w.program.events("reload_rejected")), "the fifth")
     with Client(w.program.address) as c:
         assert c.open().startswith(b"UP ")
     assert w.old.watches == 1  # undisturbed
     assert w.program.reload(**good)["changed"] == []
-    assert w.program.counts()["reloads refused"] == 5
+    assert w.program.counts()["reloads_rejected"] == 5
 
 
 def test_it_moves_while_a_call_is_out_and_during_a_second_signal(world):
@@ -109,7 +109,7 @@
         ended = []
         thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
         thread.start()
-        until(lambda: w.program.events("stopping"), "the end begun")
+        until(lambda: w.program.events("shutdown_started"), "the end begun")
         w.program.reload(discovery=w.there)
         assert c.line() == b"MOVE\r\n"
     thread.join(WAIT)
@@ -218,7 +218,7 @@
             until(lambda: program.process.poll() is None and blocked(program.process.pid), "the start")
             program.process.send_signal(signal.SIGHUP)
             starting.join(WAIT)
-            until(lambda: program.events("reloaded"), "the reload")
+            until(lambda: program.events("config_reloaded"), "the reload")
             assert program.process.poll() is None
     finally:
         program.kill()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -73,7 +73,7 @@
     ended = []
     thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
     thread.start()
-    until(lambda: w.program.events("stopping"), "the signal")
+    until(lambda: w.program.events("shutdown_started"), "the signal")
     half.send(b"st-run,d=900\r\n")
     later_runner.sendall(b"UP s-x\r\n")
     halved_runner.sendall(b"-x\r\n")
@@ -86,7 +86,9 @@
     for c in (later, halved):
         assert c.rest() == b"UP s-x\r\nMOVE\r\n"
     thread.join(WAIT)
-    assert ended == [0] and "faults" not in w.program.events("counters")[0]["counts"]
+    assert ended == [0] and not {"faults", "internal_errors"} & set(
+        w.program.events("counters_reported")[0]["counts"]
+    )
 
 
 def test_hundreds_who_stand_are_all_moved(world):
@@ -159,12 +161,12 @@
     c = w.client()
     assert c.open().startswith(b"UP ")
     w.program.process.send_signal(signal.SIGTERM)
-    until(lambda: w.program.events("stopping"), "the signal")
+    until(lambda: w.program.events("shutdown_started"), "the signal")
     w.drain(w.runners[0])
     w.program.process.send_signal(signal.SIGHUP)
     w.program.process.send_signal(signal.SIGTERM)
     assert c.rest() == b"MOVE\r\n"
-    assert w.program.process.wait(WAIT) == 0 and len(w.program.events("stopping")) == 1
+    assert w.program.process.wait(WAIT) == 0 and len(w.program.events("shutdown_started")) == 1
 
 
 def test_a_request_read_after_its_connection_was_shut_is_not_sent_on(world):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -241,11 +241,11 @@
         for data in (b"", b"x" * 40, b"y" * 9000):
             garbage.sendto(data, ("127.0.0.1", int(nodes["n0"].split(":")[1])))
         garbage.close()
-        until(lambda: programs[0].counts().get("store datagrams refused", 0) >= 3, "garbage is counted")
+        until(lambda: programs[0].counts().get("store_datagrams_rejected", 0) >= 3, "garbage is counted")
         assert operator(file, "get", "runner/s-9")[1].startswith("{")
         assert operator(file, "remove", "runner/s-9") == (0, "")
         assert operator(file, "get", "runner/s-9")[0] == 1
-        assert "faults" not in programs[0].counts()
+        assert not {"faults", "internal_errors"} & set(programs[0].counts())
     finally:
         for program in programs:
             program.kill()
