--- a/aspensaddle/conformance/memory_frontend.py
+++ b/aspensaddle/conformance/memory_frontend.py
@@ -10,14 +10,14 @@
 from aspensaddle.conformance.net import Address, MemoryNet
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.quic.engine import Engine
 from aspensaddle.frontends.quic.packets import Malformed
 from aspensaddle.frontends.quic.session import Path as QuicPath
 from aspensaddle.frontends.quic.settings import load_quic
+from aspensaddle.support.config_errors import ConfigError
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.files import ConfigError
 
 SWEEP_INTERVAL = 0.1  # s
 UNREACHABLE_DELAY = 0.0002  # s, until the network tells that nobody has an address
@@ -29,7 +29,7 @@
     def event(self, event: str, **fields: Any) -> None:
         """Do nothing: a service that the engine does not need here."""
 
-    def seldom(self, event: str, **fields: Any) -> None:
+    def rate_limited_event(self, event: str, **fields: Any) -> None:
         """Do nothing: a service that the engine does not need here."""
 
 
@@ -63,7 +63,7 @@
     def restart(self) -> None:
         """Start anew: only the files and the endpoint list are kept."""
         self.counters, self.faults = Counters(), list[str]()
-        self.fleet = Fleet(("here",))
+        self.fleet = EndpointRegistry(("here",))
         self.driver = Driver(parse_settings(platform_settings(self._deadline)), self._seed, self, self.net.now)
         loaded = load_quic(self._file(self._toml), CLASSES)
         assert loaded is not None
@@ -79,7 +79,7 @@
         )
         self._next_sweep = self.net.now()
         self._slots: set[int] = set()
-        self.driver.start(self.fleet.take(parse_update({"rev": 1, "all": True, "targets": self._targets})))
+        self.driver.start(self.fleet.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": self._targets})))
 
     def _file(self, toml: str) -> Path:
         path = self.folder / "quic.toml"
@@ -153,8 +153,8 @@
     def replace_endpoints(self, targets: list[dict[str, Any]]) -> None:
         """Replace the whole endpoint list."""
         self._targets = targets
-        update = parse_update({"rev": 1, "all": True, "targets": targets})
-        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+        update = parse_endpoint_list({"rev": 1, "all": True, "targets": targets})
+        self.driver.update_endpoints(update.scope, self.fleet.apply(update))
 
     def configure(self, toml: str) -> bool:
         """Load another operator's file; return whether it was accepted."""
--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -154,12 +154,14 @@
         """Replace the whole endpoint list."""
         self._config["known"] = {"rev": 1, "all": True, "targets": targets}
         self._write()
-        self._signal_and_wait(signal.SIGHUP, "reloaded", "reload refused")
+        self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")
 
     def configure(self, toml: str) -> bool:
         """Load another operator's file; return whether it was accepted."""
         self._write(toml)
-        return bool(self._signal_and_wait(signal.SIGHUP, "reloaded", "reload refused")["event"] == "reloaded")
+        return bool(
+            self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")["event"] == "config_reloaded"
+        )
 
     def counts(self) -> dict[str, int]:
         """Return the counters."""
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -117,7 +117,7 @@
                     testbed = Testbed(setup, Path(folder) / str(n), memory, seed)
                 testbed.begin_case()
                 c.run(testbed)
-                if faults := testbed.counted("faults"):
+                if faults := testbed.counted("internal_errors"):
                     raise RequirementNotMetError(f"{faults} faults in the front")
             except NotApplicableError as e:
                 verdict, why = NOT_APPLICABLE, str(e)
--- a/aspensaddle/frontends/line_protocol/connection_adopter.py
+++ b/aspensaddle/frontends/line_protocol/connection_adopter.py
@@ -55,7 +55,7 @@
 
     async def _reopen(self, adoption: _Adoption) -> None:
         """Retry until the server accepts, the time is over or the process shuts down."""
-        placing, request_id = self._frontend.placing, adoption.open_request.request.request_id
+        placing, request_id = self._frontend.pending_requests, adoption.open_request.request.request_id
         state = adoption.state
         try:
             placing[request_id] = state
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-import traceback
-
 import trio
 
 from aspensaddle.frontends.line_protocol.connection_adopter import ConnectionAdopter
@@ -15,10 +13,10 @@
 from aspensaddle.frontends.line_protocol.request_lifecycle import RequestLifecycle
 from aspensaddle.frontends.line_protocol.request_state import COMMANDS
 from aspensaddle.frontends.line_protocol.responses import ERROR, PONG, ConnectionEnd
+from aspensaddle.support.internal_errors import record_internal_error
 
 RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # for a client to take its response
 MAX_PINGS = 16  # before an OPEN
-MAX_TRACE_CHARACTERS = 2000
 # A first line read within this many passes of the event loop may have arrived together with its connection.
 MAX_LOOP_PASSES_SINCE_ACCEPT = 2
 
@@ -39,7 +37,7 @@
             loop_passes: Passes of the event loop until the accept.
         """
         link = Link(stream)
-        with self._frontend.admission.hold(link) as slot:
+        with self._frontend.slots.hold(link) as slot:
             try:
                 end = await self._serve_or_report(link, slot, arrived_at, loop_passes)
                 await self._finish(link, slot, end)
@@ -57,9 +55,7 @@
         except ConnectionBrokenError:
             raise
         except Exception as error:
-            trace = "".join(traceback.format_exception(error))[-MAX_TRACE_CHARACTERS:]
-            self._frontend.counters.add("faults")
-            self._frontend.log.event("fault", error=repr(error), trace=trace)
+            record_internal_error(error, self._frontend.counters, self._frontend.log)
             return ConnectionEnd(b"" if link.response_started else ERROR)
 
     async def _serve(self, link: Link, slot: ConnectionSlot, arrived_at: float, loop_passes: int) -> ConnectionEnd:
@@ -68,7 +64,7 @@
             open_request = await self._read_open(link, slot)
         except (InvalidOpenError, LineTooLongError) as error:
             self._frontend.counters.add("invalid_requests")
-            self._frontend.log.seldom("invalid_request", reason=str(error))
+            self._frontend.log.rate_limited_event("invalid_request", reason=str(error))
             return ConnectionEnd(ERROR)
         if open_request is None:
             return ConnectionEnd(self._frontend.unavailable_response() if slot.evicted else b"")
@@ -77,10 +73,10 @@
         if reason := self._reject_reason(open_request):
             self._frontend.counters.add(reason)
             return ConnectionEnd(self._frontend.unavailable_response())
-        self._frontend.admission.activate(slot)
+        self._frontend.slots.activate(slot)
         if open_request.adopted_server is not None:
             return await self._adopter.run(link, open_request, open_request.adopted_server)
-        lag = self._frontend.lateness
+        lag = self._frontend.event_loop_lag
         if lag.passes > loop_passes + MAX_LOOP_PASSES_SINCE_ACCEPT:
             arrived_at = lag.since
         return await self._requests.run(link, open_request, arrived_at)
@@ -122,9 +118,9 @@
 
     def _reject_reason(self, open_request: OpenRequest) -> str | None:
         """Return the counter of the reason why this process cannot take the request, if any."""
-        if not self._frontend.newcomers:
+        if not self._frontend.accepting_requests:
             return "rejected_after_shutdown_began"
-        if open_request.adopted_server is None and self._frontend.admission.full:
+        if open_request.adopted_server is None and self._frontend.slots.full:
             return "rejected_connection_slots_exhausted"
         return None
 
@@ -140,5 +136,5 @@
             deadline = trio.current_time() + RESPONSE_SEND_TIMEOUT_SECONDS
             with trio.CancelScope(shield=True, deadline=deadline):
                 await link.send(end.response)
-        self._frontend.admission.linger(slot)
+        self._frontend.slots.linger(slot)
         await link.close_lingering(slot.linger_scope)
--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -153,7 +153,7 @@
         if slot := next((s for s in self._stages[ConnectionStage.WAITING] if not s.evicted), None):
             self._evict(slot)
 
-    def turn_out_all(self) -> None:
+    def evict_all_waiting(self) -> None:
         """Evict all waiting connections, and those accepted from now on: the process shuts down."""
         self._evicts_new = True
         for slot in list(self._stages[ConnectionStage.WAITING]):
@@ -167,7 +167,7 @@
             self._counters.add("lingering_closes_aborted")
             slot.linger_scope.cancel()
 
-    def cut_all(self) -> None:
+    def abort_all_lingering(self) -> None:
         """Close all lingering connections."""
         for slot in list(self._stages[ConnectionStage.LINGERING]):
             slot.linger_scope.cancel()
--- a/aspensaddle/frontends/line_protocol/frontend.py
+++ b/aspensaddle/frontends/line_protocol/frontend.py
@@ -6,7 +6,7 @@
 
 from aspensaddle.core.actions import Reject, RejectReason
 from aspensaddle.core.driver import Driver
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.connection_adopter import ConnectionAdopter
 from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
 from aspensaddle.frontends.line_protocol.connection_slots import ConnectionStage
@@ -33,7 +33,7 @@
         config: LineProtocolSettings,
         driver: Driver,
         connector: ServerConnector,
-        endpoints: Fleet,
+        endpoints: EndpointRegistry,
         counters: Counters,
         log: Log,
         reserve: int = 0,
@@ -54,19 +54,19 @@
         """Accept what has arrived, at most one batch; return False if a descriptor was lacking."""
         return self._listener.accept(listener, nursery)
 
-    async def sweep(self) -> None:
+    async def run_periodic_check(self) -> None:
         """Check open connections and the event loop's lag until cancelled."""
         await run_periodic_check(self)
 
-    def give_up_all(self) -> None:
+    def reject_pending_requests(self) -> None:
         """Give every request without a decision its final response: the process shuts down."""
-        for request_id, state in list(self.placing.items()):
+        for request_id, state in list(self.pending_requests.items()):
             if request_id in self.driver:
                 self.driver.reject_on_shutdown(request_id)
             else:  # a connection to adopt, which the driver does not know yet
                 state.act(Reject(request_id, 0.0, RejectReason.SHUTTING_DOWN))
 
     @property
-    def left(self) -> int:
+    def unfinished_connections(self) -> int:
         """Clients whose response is not complete, and open connections."""
-        return self.admission.count(ConnectionStage.ACTIVE)
+        return self.slots.count(ConnectionStage.ACTIVE)
--- a/aspensaddle/frontends/line_protocol/frontend_state.py
+++ b/aspensaddle/frontends/line_protocol/frontend_state.py
@@ -8,13 +8,13 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.retry_after import shutdown_retry_after
 from aspensaddle.core.settings import Settings
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlots
 from aspensaddle.frontends.line_protocol.request_state import RequestState
 from aspensaddle.frontends.line_protocol.responses import busy
 from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.event_loop_lag import Lateness
+from aspensaddle.support.event_loop_lag import EventLoopLagMonitor
 from aspensaddle.support.log import Log
 
 
@@ -45,12 +45,12 @@
         endpoints: Known servers.
         counters: Counters of the process.
         log: Log of the process.
-        lateness: Event loop lag.
-        admission: Slots of the client connections.
-        placing: Requests without a final decision, by id.
-        standing: Requests with an open connection, by id.
-        newcomers: New requests are accepted; False while the process shuts down.
-        moving: Connections that open from now on are migrated at once.
+        event_loop_lag: Event loop lag.
+        slots: Slots of the client connections.
+        pending_requests: Requests without a final decision, by id.
+        open_connections: Requests with an open connection, by id.
+        accepting_requests: New requests are accepted; False while the process shuts down.
+        migrating_all: Connections that open from now on are migrated at once.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         config: LineProtocolSettings,
         driver: Driver,
         connector: ServerConnector,
-        endpoints: Fleet,
+        endpoints: EndpointRegistry,
         counters: Counters,
         log: Log,
         reserve: int = 0,
@@ -66,20 +66,20 @@
         """Start without connections; `reserve` descriptors are kept for other parts of the process."""
         self.driver, self.connector, self.endpoints = driver, connector, endpoints
         self.counters, self.log = counters, log
-        self.lateness = Lateness()
-        self.placing: dict[str, RequestState] = {}
-        self.standing: dict[str, RequestState] = {}
-        self.newcomers = True
-        self.moving = False
+        self.event_loop_lag = EventLoopLagMonitor()
+        self.pending_requests: dict[str, RequestState] = {}
+        self.open_connections: dict[str, RequestState] = {}
+        self.accepting_requests = True
+        self.migrating_all = False
         self._reserve = reserve
-        self.admission = ConnectionSlots(counters, config.sockets)
+        self.slots = ConnectionSlots(counters, config.sockets)
         self.configure(config)
 
     def configure(self, config: LineProtocolSettings) -> None:
         """Use other settings for requests from now on."""
         self.config = config
         self.connector.sockets = config.sockets
-        self.admission.configure(config.sockets, self._reserve + self.connector.descriptors)
+        self.slots.configure(config.sockets, self._reserve + self.connector.descriptors)
 
     def unavailable_response(self) -> bytes:
         """Return the response for a client that this process cannot serve now."""
--- a/aspensaddle/frontends/line_protocol/health_checker.py
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -10,7 +10,7 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
 from aspensaddle.core.load_report_fields import parse_load_report
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
 from aspensaddle.frontends.line_protocol.link import Link, first_word
 from aspensaddle.support.counters import Counters
@@ -50,7 +50,7 @@
     def __init__(
         self,
         driver: Driver,
-        endpoints: Fleet,
+        endpoints: EndpointRegistry,
         counters: Counters,
         connect: Callable[[int], Awaitable[Link | Outcome]],
         sockets: int,
--- a/aspensaddle/frontends/line_protocol/listener.py
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -24,7 +24,7 @@
 
     async def serve(self, listener: Listener, nursery: trio.Nursery) -> None:
         """Accept connections until cancelled, also once the listener is closed."""
-        self._frontend.lateness.begin()
+        self._frontend.event_loop_lag.begin()
         try:
             while True:
                 try:
@@ -34,11 +34,11 @@
                 if not self.accept(listener, nursery):
                     await trio.sleep(NO_DESCRIPTOR_PAUSE_SECONDS)
         finally:
-            self._frontend.lateness.end()
+            self._frontend.event_loop_lag.end()
 
     def accept(self, listener: Listener, nursery: trio.Nursery) -> bool:
         """Accept what has arrived, at most one batch; return False if a descriptor was lacking."""
-        slots, counters, lag = self._frontend.admission, self._frontend.counters, self._frontend.lateness
+        slots, counters, lag = self._frontend.slots, self._frontend.counters, self._frontend.event_loop_lag
         for _ in range(ACCEPT_BATCH):
             if not slots.may_accept(self._starting):
                 slots.free_descriptor()
--- a/aspensaddle/frontends/line_protocol/open_connections.py
+++ b/aspensaddle/frontends/line_protocol/open_connections.py
@@ -30,15 +30,15 @@
         started_at = trio.current_time()
         parser = LoadReportParser(frontend.config.settings, self._latency_schedule(server), started_at)
         relay = state.relay = Relay(client, established.link, request_id, frontend.driver, frontend.counters, parser)
-        frontend.standing[request_id] = state
+        frontend.open_connections[request_id] = state
         frontend.counters.add("connections_established")
         migrated = True
         try:
-            if state.migration_requested or frontend.moving:
+            if state.migration_requested or frontend.migrating_all:
                 relay.stop()
             migrated = await relay.run(established.response)
         finally:
-            del frontend.standing[request_id]
+            del frontend.open_connections[request_id]
             outcome = Outcome.CONNECTION_LOST if relay.server_silent else relay.outcome
             frontend.driver.attempt_ended(request_id, outcome, finished=True)
             _close_server_link(established.link, reset=relay.reset and not migrated)
--- a/aspensaddle/frontends/line_protocol/periodic_check.py
+++ b/aspensaddle/frontends/line_protocol/periodic_check.py
@@ -16,7 +16,7 @@
         await trio.sleep(CHECK_INTERVAL_SECONDS)
         now = trio.current_time()
         frontend.driver.record_event_loop_lag(now - due_at)
-        for request_id, state in list(frontend.standing.items()):
+        for request_id, state in list(frontend.open_connections.items()):
             if state.relay is not None:
                 state.relay.check_silence(now)
                 overdue = state.relay.echo_overdue(now)
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -70,7 +70,7 @@
         request = open_request.request
         request_class = self._frontend.config.settings.classes[request.class_index]
         wait = min(request.time_left, request_class.deadline)
-        lag = now - arrived_at + min(self._frontend.lateness.recent(now), MAX_LAG_FRACTION * wait)
+        lag = now - arrived_at + min(self._frontend.event_loop_lag.recent(now), MAX_LAG_FRACTION * wait)
         request = replace(request, time_left=wait - RESPONSE_MARGIN_SECONDS - lag)
         return _Placement(RequestState(client), open_request, request, now)
 
@@ -78,7 +78,7 @@
         """Carry out the balancer's decisions until one is final or an attempt is established."""
         frontend, state, request = self._frontend, placement.state, placement.request
         try:
-            frontend.placing[request.request_id] = state
+            frontend.pending_requests[request.request_id] = state
             frontend.driver.submit(state, request)
             while not placement.finished:
                 decision = await state.next_decision()
@@ -89,7 +89,7 @@
                 else:
                     break
         finally:
-            del frontend.placing[request.request_id]
+            del frontend.pending_requests[request.request_id]
             if not placement.finished:
                 frontend.driver.client_disconnected(request.request_id)
 
--- a/aspensaddle/frontends/line_protocol/request_state.py
+++ b/aspensaddle/frontends/line_protocol/request_state.py
@@ -61,9 +61,9 @@
                 if action.attempt == self.attempts - 1:
                     self.attempt_scope.cancel()
             case Migrate():
-                self.move()
+                self.migrate()
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Migrate the client away from its server."""
         self.migration_requested = True
         if self.relay is not None:
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -10,7 +10,7 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.events import Outcome
-from aspensaddle.discovery.endpoint_registry import Fleet
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
 from aspensaddle.frontends.line_protocol.health_checker import HealthChecker
 from aspensaddle.frontends.line_protocol.link import MAX_LINE_BYTES, Link, first_word
@@ -63,7 +63,7 @@
 class ServerConnector:
     """Makes attempts at servers, and holds their health checker."""
 
-    def __init__(self, driver: Driver, endpoints: Fleet, counters: Counters, sockets: int = 1024) -> None:
+    def __init__(self, driver: Driver, endpoints: EndpointRegistry, counters: Counters, sockets: int = 1024) -> None:
         """Start without connections; `sockets` is the number of descriptors that the process may hold."""
         self.driver, self.endpoints, self.counters = driver, endpoints, counters
         self._health_checker = HealthChecker(
@@ -84,7 +84,7 @@
         """Descriptors that health checks may hold."""
         return self._health_checker.max_connections
 
-    async def probe(self, server: int) -> None:
+    async def check_health(self, server: int) -> None:
         """Check the health of a server and report it to the driver."""
         await self._health_checker.check(server)
 
--- a/aspensaddle/frontends/quic/placing.py
+++ b/aspensaddle/frontends/quic/placing.py
@@ -87,7 +87,7 @@
             taken = placing.flight.take(data, packets, opened)
         except HelloError as e:
             self.ctx.counters.add("quic bad hellos")
-            self.ctx.log.seldom("quic bad hello", why=str(e))
+            self.ctx.log.rate_limited_event("quic bad hello", why=str(e))
             self._close(session, placing, CRYPTO_BUFFER_EXCEEDED, b"", "quic failed")
             return
         if taken is Taken.DROPPED:
@@ -131,8 +131,8 @@
             try:
                 self._carry_out(session, action)
             except Exception as e:  # a fault ends one session, not the front
-                self.ctx.counters.add("faults")
-                self.ctx.log.event("fault", error=repr(e), session=session.id)
+                self.ctx.counters.add("internal_errors")
+                self.ctx.log.event("internal_error", error=repr(e), session=session.id)
                 self._abort(session)
         decisions.clear()
 
--- a/benchmarks/rolling_restart_simulation/client_lifecycle.py
+++ b/benchmarks/rolling_restart_simulation/client_lifecycle.py
@@ -19,10 +19,10 @@
 from benchmarks.rolling_restart_simulation import model
 from benchmarks.rolling_restart_simulation.balancer_connector import BalancerConnector
 from benchmarks.rolling_restart_simulation.client import Client, ClientState
+from benchmarks.rolling_restart_simulation.endpoint_notices import publish_crash
 from benchmarks.rolling_restart_simulation.frontend import Frontend
 from benchmarks.rolling_restart_simulation.report import CountedEvent
 from benchmarks.rolling_restart_simulation.server import Server, ServerPhase
-from benchmarks.rolling_restart_simulation.endpoint_notices import publish_crash
 from benchmarks.rolling_restart_simulation.state import SimulationState
 
 
--- a/tests/inside.py
+++ b/tests/inside.py
@@ -14,9 +14,9 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
-from aspensaddle.daemon.shutdown import Phases, shut_down
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.daemon.graceful_shutdown import ShutdownPhases, shut_down
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.line_protocol.connection_slots import ConnectionStage
 from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
 from aspensaddle.frontends.line_protocol.frontend_state import LineProtocolSettings
@@ -92,12 +92,12 @@
         )
         self.runners, self.events = runners, list[tuple[str, dict[str, Any]]]()
         log = SimpleNamespace(
-            event=lambda name, **more: self.events.append((name, more)), seldom=lambda name, **more: None
+            event=lambda name, **more: self.events.append((name, more)), rate_limited_event=lambda name, **more: None
         )
         services = SimpleNamespace(
             watch_endpoints=lambda: None, check_health=lambda server: None, timers_changed=lambda: None
         )
-        self.fleet, self.counters = Fleet(("surabaya", "semarang")), Counters()
+        self.fleet, self.counters = EndpointRegistry(("surabaya", "semarang")), Counters()
         self.driver = Driver(settings, 1, services)
         self.connector = ServerConnector(self.driver, self.fleet, self.counters)
         names = [lane["name"] for lane in lanes or [LANE]]
@@ -108,11 +108,11 @@
         self.count = 0
 
     def take(self, *targets: dict[str, Any]) -> Any:
-        return self.fleet.take(parse_update({"rev": 1, "all": True, "targets": list(targets)}))
+        return self.fleet.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(targets)}))
 
     def change(self, *targets: dict[str, Any]) -> None:
-        update = parse_update({"rev": 2, "all": False, "targets": list(targets)})
-        self.driver.update_endpoints(update.scope, self.fleet.take(update))
+        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(targets)})
+        self.driver.update_endpoints(update.scope, self.fleet.apply(update))
 
     async def client(self) -> Peer:
         return Peer(await trio.open_tcp_stream(*self.listener.address))
@@ -126,7 +126,7 @@
     async def end(self) -> None:
         """As at SIGTERM."""
         settings = self.config.settings
-        await shut_down(self.frontend, self.listener, Phases.of(settings, 0.0), self.nursery)
+        await shut_down(self.frontend, self.listener, ShutdownPhases.from_settings(settings, 0.0), self.nursery)
 
     def reload(self, **limits: Any) -> None:
         """As at SIGHUP."""
@@ -140,10 +140,10 @@
 
     async def gone(self) -> None:
         """Wait until no connection is left, and check that no request is."""
-        await self.until(lambda: not self.frontend.admission.open)
-        assert not self.frontend.placing and not self.frontend.standing
+        await self.until(lambda: not self.frontend.slots.open)
+        assert not self.frontend.pending_requests and not self.frontend.open_connections
         assert not self.driver._requests and not self.driver.balancer.requests
-        assert not any(self.frontend.admission.count(stage) for stage in ConnectionStage)
+        assert not any(self.frontend.slots.count(stage) for stage in ConnectionStage)
 
     def run(self, script: Callable[[Inside], Awaitable[None]], accepting: bool = True) -> None:
         async def front(task_status: trio.TaskStatus[trio.Nursery]) -> None:
@@ -167,5 +167,5 @@
         finally:
             for r in self.runners:
                 r.close()
-        assert "faults" not in self.counters, self.events
+        assert "internal_errors" not in self.counters, self.events
         self.left_over = len(os.listdir("/proc/self/fd")) - before
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -13,7 +13,7 @@
 from aspensaddle.core.events import ConnectionLoadReported, Endpoint, Outcome, ServerLatencyReported
 from aspensaddle.core.settings import Limits, ServiceRules, Settings
 from aspensaddle.discovery.endpoint_registry import Fleet as EndpointRegistry
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 
 LOAD = 0.05  # of a core, the mean connection
 WEIGHT = 2.0  # cores that are listed
@@ -221,8 +221,8 @@
         self.tell(*targets, full=True)
 
     def tell(self, *targets, full=False):
-        update = parse_update({"rev": 1, "all": full, "targets": list(targets)})
-        self.update_endpoints(*self.fleet.take(update), scope=update.scope)
+        update = parse_endpoint_list({"rev": 1, "all": full, "targets": list(targets)})
+        self.update_endpoints(*self.fleet.apply(update), scope=update.scope)
 
     def ends(self, draw=None, **more):
         """Send one request, end its attempts as drawn, and return its final action."""
--- a/tests/test_answer_delivery.py
+++ b/tests/test_answer_delivery.py
@@ -25,10 +25,10 @@
         assert await peer.line() == b"UP s-0\r\n"
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
-        await f.until(lambda: not f.frontend.standing)
+        await f.until(lambda: not f.frontend.open_connections)
         for n in range(20):
             await peer.send(b"M %d\r\n" % n)
-        await f.until(lambda: not f.frontend.admission.open)  # it has read out, and given up waiting
+        await f.until(lambda: not f.frontend.slots.open)  # it has read out, and given up waiting
         assert await peer.rest() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
         peer.stream.socket.close()
 
@@ -42,8 +42,8 @@
         gate = Gate()
         f.frontend.handler._finish = gate.before(f.frontend.handler._finish)
         peer = await f.client()
-        await f.until(lambda: f.frontend.admission.open)
-        f.frontend.admission.evict_oldest()
+        await f.until(lambda: f.frontend.slots.open)
+        f.frontend.slots.evict_oldest()
         await gate.reached.wait()
         await peer.send(b"OPEN 1 k c=test-run,d=900\r\n")  # comes between the decision and its answer
         gate.opened.set()
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    "shed", ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "turn_out_all", "cut_all"]
+    "shed", ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "evict_all_waiting", "abort_all_lingering"]
 )
 def test_no_answer_that_is_to_come_is_lost_to_those_who_need_room(shed):
     """The response is decided and not written yet, so the connection must not count as lingering."""
@@ -67,7 +67,7 @@
         f.frontend.handler._finish = gate.before(f.frontend.handler._finish)
         peer = await f.asks()
         await gate.reached.wait()
-        getattr(f.frontend.admission, shed)()
+        getattr(f.frontend.slots, shed)()
         await trio.testing.wait_all_tasks_blocked()
         gate.opened.set()
         assert (await peer.rest()).startswith(b"BUSY") and not peer.was_reset
@@ -110,7 +110,7 @@
 
         def and_moved(id):
             established(id)
-            f.driver._requests[id].handler.move()
+            f.driver._requests[id].handler.migrate()
 
         f.driver.connection_established = and_moved
         peer = await f.asks()
@@ -130,12 +130,12 @@
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         connection.sendall(b"UP s-0\r\n")
         await peer.line()
-        (state,) = f.frontend.standing.values()
+        (state,) = f.frontend.open_connections.values()
         end_sending = Link.end_sending
 
         async def and_moved(link):
             await end_sending(link)
-            state.move()
+            state.migrate()
 
         state.client.end_sending = lambda: and_moved(state.client)
         connection.sendall(b"BYE\r\n")
@@ -193,15 +193,15 @@
     async def script(f):
         first = await f.asks()
         await trio.to_thread.run_sync(runner.offered)
-        await f.until(lambda: f.frontend.placing)
+        await f.until(lambda: f.frontend.pending_requests)
         peer = await f.client()
-        await f.until(lambda: f.frontend.admission.open == 2)
+        await f.until(lambda: f.frontend.slots.open == 2)
         busy = trio.lowlevel.current_clock().current_time
         came = busy()
         os.write(peer.stream.socket.fileno(), b"OPEN a k c=test-run,d=3000\r\n")  # no pass of the loop in between
         while busy() < came + 0.4:  # a pass of the loop that takes long
             time.sleep(0.01)
-        await f.until(lambda: "a" in f.frontend.placing)
+        await f.until(lambda: "a" in f.frontend.pending_requests)
         (left,) = (p.deadline for id, p in f.driver._requests.items() if id == "a")
         # Both what it was late in coming to the line, and what it may be late again with the answer.
         assert left - f.driver.now() <= 3.0 - 0.03 - 0.4 - 0.3
@@ -218,7 +218,7 @@
         with slots.hold(None) as slot:
             slots.activate(slot)
             slots.free_descriptor()
-            slots.cut_all()
+            slots.abort_all_lingering()
             assert not slot.linger_scope.cancel_called and not slot.evicted
 
     trio.run(main)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -48,7 +48,7 @@
         peer = await f.asks()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         runner.held = False
-        (state,) = f.frontend.placing.values()
+        (state,) = f.frontend.pending_requests.values()
         gate = Gate()
         f.connector._connect = gate.before(f.connector._connect)
         connection.sendall(b"BUSY\r\n")
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -48,7 +48,11 @@
     for c in silent:
         c.close()
     counts = w.program.counts()
-    assert counts["connections_evicted"] >= 200 and "faults" not in counts and "accepts_failed_emfile" not in counts
+    assert (
+        counts["connections_evicted"] >= 200
+        and "internal_errors" not in counts
+        and "accepts_failed_emfile" not in counts
+    )
 
 
 def test_one_time_for_the_whole_stay_before_an_open(world):
@@ -177,8 +181,8 @@
             for s in held[4 : 4 + slots.max_lingering]:
                 slots.linger(s)
             assert [i for i, s in enumerate(held) if s.linger_scope.cancel_called] == [3]
-            slots.turn_out_all()
-            slots.cut_all()
+            slots.evict_all_waiting()
+            slots.abort_all_lingering()
             assert not held[0].linger_scope.cancel_called and held[0].stage is ConnectionStage.ACTIVE
             assert all(s.evicted or s.linger_scope.cancel_called for s in held[1:])
             late = stack.enter_context(slots.hold(None))  # after that nobody waits any more
@@ -226,8 +230,8 @@
     clock = SimpleNamespace(now=100.0)
     monkeypatch.setattr("aspensaddle.support.log.time.monotonic", lambda: clock.now)
     for _ in range(5):
-        log.seldom("x", n=1)
+        log.rate_limited_event("x", n=1)
     clock.now += 1.5
-    log.seldom("x", n=2)
+    log.rate_limited_event("x", n=2)
     log.close()
-    assert lines == [("x", {"n": 1, "passed_over": 0}), ("x", {"n": 2, "passed_over": 4})]
+    assert lines == [("x", {"n": 1, "suppressed": 0}), ("x", {"n": 2, "suppressed": 4})]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -40,7 +40,7 @@
 
 async def resting(p):
     p.peer = await p.f.client()
-    await p.f.until(lambda: p.f.frontend.admission.open)
+    await p.f.until(lambda: p.f.frontend.slots.open)
 
 
 async def half_open(p):
@@ -105,7 +105,7 @@
 
 async def sigterm(p):
     p.f.nursery.start_soon(p.f.end)
-    await p.f.until(lambda: not p.f.frontend.newcomers)
+    await p.f.until(lambda: not p.f.frontend.accepting_requests)
 
 
 async def sighup(p):
@@ -114,7 +114,7 @@
 
 async def client_ends(p):
     await p.peer.stream.send_eof()
-    if p.runner and p.f.frontend.standing:
+    if p.runner and p.f.frontend.open_connections:
         assert await trio.to_thread.run_sync(read_out, p.runner)  # the end is passed on, and the runner ends too
         p.runner.shutdown(1)
 
@@ -147,9 +147,9 @@
 
 async def deadline(p):
     """The time of the request, or of the silence on its connection, is over."""
-    for state in list(p.f.frontend.placing.values()):
+    for state in list(p.f.frontend.pending_requests.values()):
         state.attempt_scope.deadline = trio.current_time()
-    for state in list(p.f.frontend.standing.values()):
+    for state in list(p.f.frontend.open_connections.values()):
         state.relay.check_silence(trio.current_time() + 5)
 
 
@@ -179,14 +179,14 @@
                 if place in (connecting, offered, half_up):
                     await p.peer.line()
                 if place in (connecting, offered, half_up, *STANDING):
-                    for state in f.frontend.standing.values():
-                        state.move()  # it stands still: have it end
+                    for state in f.frontend.open_connections.values():
+                        state.migrate()  # it stands still: have it end
             elif event is runner_resets and place in STANDING:
                 pass
             elif place in (connecting, offered, half_up) and event in (runner_ends, runner_resets, deadline):
                 await p.peer.line()
-                for state in f.frontend.standing.values():
-                    state.move()
+                for state in f.frontend.open_connections.values():
+                    state.migrate()
         if event is not client_resets:
             await p.peer.rest()
             p.peer.stream.socket.close()
@@ -250,7 +250,7 @@
 
 
 async def _cut_short(frontend, listener, phases, nursery):
-    frontend.newcomers = False
+    frontend.accepting_requests = False
     await trio.sleep(0.01)
     nursery.cancel_scope.cancel()
 
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -18,11 +18,11 @@
 import aspensaddle.core
 from aspensaddle.core.events import ServerState
 from aspensaddle.daemon.config import parse_config
-from aspensaddle.daemon.stored import runners_update
-from aspensaddle.discovery.endpoint_registry import Fleet
-from aspensaddle.discovery.endpoint_update import parse_update
+from aspensaddle.daemon.store_integration import parse_stored_endpoints
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
+from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.store.settings import parse_store
-from aspensaddle.store.state import State
+from aspensaddle.store.state import ReplicaState
 
 MANY = 1024
 
@@ -59,25 +59,25 @@
             )
         )
     )
-    fleet = Fleet(config.zones)
-    harness = BalancerHarness(list(fleet.take(config.known)), config.settings)
+    fleet = EndpointRegistry(config.zones)
+    harness = BalancerHarness(list(fleet.apply(config.known)), config.settings)
     assert len(harness.balancer.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
     changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
-    harness.update_endpoints(*fleet.take(parse_update({"rev": 2, "all": False, "targets": changes})))
+    harness.update_endpoints(*fleet.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": changes})))
     assert len(harness.balancer.servers) == len(fleet.addresses) == MANY
     assert fleet.uid(harness.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
 
 
 def test_the_store_keeps_as_many_of_both_and_removed_ones():
-    a, b = State("n0", lambda: 10**12), State("n1", lambda: 10**12)
+    a, b = ReplicaState("n0", lambda: 10**12), ReplicaState("n1", lambda: 10**12)
     for n in range(MANY):
         a.put(f"runner/s-{n:08x}", json.dumps(target(n)))
         a.put(f"balancer/n{n}", "{}")
         a.put(f"runner/s-{MANY + n:08x}", None)
-    for bucket in b.differing(a.sums()):
-        b.merge(a.missing(bucket, b.marks(bucket))[0])
-    update, wrong = runners_update(b.values("runner/"))
-    assert len(update.targets) == len(b.values("balancer/")) == MANY and not wrong
+    for bucket in b.differing_buckets(a.bucket_digests()):
+        b.merge(a.compare_bucket(bucket, b.version_summary(bucket)).to_send)
+    stored = parse_stored_endpoints(b.values("runner/"))
+    assert len(stored.update.endpoints) == len(b.values("balancer/")) == MANY and not stored.errors
     nodes = {f"n{n}": f"127.0.{n // 256}.{n % 256}:7000" for n in range(MANY)}
     settings = parse_store({"enabled": True, "key": "00" * 16, "nodes": nodes})
     assert settings is not None and len(settings.nodes) == MANY
--- a/tests/test_quic_engine.py
+++ b/tests/test_quic_engine.py
@@ -103,7 +103,9 @@
         testbed.address,
     )
     testbed.wait(lambda: raw.got, "an answer")
-    assert testbed.counted("faults") == 1 and engine.placements.pending == 0 and len(engine.sessions.all) == 1
+    assert (
+        testbed.counted("internal_errors") == 1 and engine.placements.pending == 0 and len(engine.sessions.all) == 1
+    )
     testbed.ask(standing)
     (other,) = testbed.connected_clients()
     testbed.ask(other)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -213,7 +213,7 @@
                     await a.send_all(b"OPEN i k c=test-run,d=500\r\n")
                     assert await a.receive_some(100) == b"ERR\r\n"
                     await a.aclose()
-        assert events == ["fault", "fault"] and frontend.counters["faults"] == 2
-        assert frontend.admission.open == 0
+        assert events == ["internal_error", "internal_error"] and frontend.counters["internal_errors"] == 2
+        assert frontend.slots.open == 0
 
     trio.run(main)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -11,8 +11,6 @@
     "aspensaddle/frontends/quic/placing.py",
 }
 OVERSIZED_FUNCTIONS = {
-    "aspensaddle/daemon/service.py:__init__",
-    "aspensaddle/daemon/shutdown.py:shut_down",
     "aspensaddle/frontends/quic/engine.py:_initial",
 }
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -12,7 +12,12 @@
 from inside import Inside
 from standins import SETTINGS, WAIT, Client, Runner, until
 
-from aspensaddle.daemon.shutdown import COUNTED_AS, KILLED_AFTER, NEWCOMERS, Phases
+from aspensaddle.daemon.graceful_shutdown import (
+    KILL_MARGIN_SECONDS,
+    MAX_DEADLINE_SECONDS,
+    NEW_CONNECTIONS_SECONDS,
+    ShutdownPhases,
+)
 
 DEADLINES = [0.1, 0.3, 0.6, 1.2, 1.8, 3.0, 12.0]
 
@@ -21,15 +26,15 @@
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_the_phases_follow_from_the_deadlines_and_fit_before_the_kill(deadline, late):
     classes = tuple(replace(MODULE_SETTINGS.classes[0], deadline=d) for d in (deadline, deadline / 2))
-    p = Phases.of(replace(MODULE_SETTINGS, classes=classes), late)
-    killed = min(COUNTED_AS, deadline) + KILLED_AFTER
+    p = ShutdownPhases.from_settings(replace(MODULE_SETTINGS, classes=classes), late)
+    killed = min(MAX_DEADLINE_SECONDS, deadline) + KILL_MARGIN_SECONDS
     assert 0 < p.newcomers < p.answered < p.emptied < p.closed < killed
     assert killed - p.closed >= min(late, killed / 4)
-    if late <= 0.05 and deadline <= COUNTED_AS:
+    if late <= 0.05 and deadline <= MAX_DEADLINE_SECONDS:
         assert p.answered >= deadline  # who was taken right before has its whole time
-        assert p.emptied > NEWCOMERS  # nobody comes any more when the queue is emptied
+        assert p.emptied > NEW_CONNECTIONS_SECONDS  # nobody comes any more when the queue is emptied
     if deadline >= 0.6 and late <= 0.05:
-        assert p.newcomers > NEWCOMERS
+        assert p.newcomers > NEW_CONNECTIONS_SECONDS
 
 
 def lanes(deadline):
@@ -68,7 +73,7 @@
     ended = []
     thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
     thread.start()
-    until(lambda: w.program.events("stopping"), "the signal")
+    until(lambda: w.program.events("shutdown_started"), "the signal")
     half.send(b"st-run,d=900\r\n")
     later_runner.sendall(b"UP s-x\r\n")
     halved_runner.sendall(b"-x\r\n")
@@ -81,7 +86,7 @@
     for c in (later, halved):
         assert c.rest() == b"UP s-x\r\nMOVE\r\n"
     thread.join(WAIT)
-    assert ended == [0] and "faults" not in w.program.events("counters")[0]["counts"]
+    assert ended == [0] and "internal_errors" not in w.program.events("counters_reported")[0]["counts"]
 
 
 def test_hundreds_who_stand_are_all_moved(world):
@@ -154,12 +159,12 @@
     c = w.client()
     assert c.open().startswith(b"UP ")
     w.program.process.send_signal(signal.SIGTERM)
-    until(lambda: w.program.events("stopping"), "the signal")
+    until(lambda: w.program.events("shutdown_started"), "the signal")
     w.drain(w.runners[0])
     w.program.process.send_signal(signal.SIGHUP)
     w.program.process.send_signal(signal.SIGTERM)
     assert c.rest() == b"MOVE\r\n"
-    assert w.program.process.wait(WAIT) == 0 and len(w.program.events("stopping")) == 1
+    assert w.program.process.wait(WAIT) == 0 and len(w.program.events("shutdown_started")) == 1
 
 
 def test_a_request_read_after_its_connection_was_shut_is_not_sent_on(world):
@@ -184,7 +189,7 @@
         for peer in peers:
             await peer.line()
         await f.end()
-        assert not f.frontend.admission.open
+        assert not f.frontend.slots.open
         for peer in peers:
             assert (await peer.rest()).endswith(b"MOVE\r\n") and not peer.was_reset
             peer.stream.socket.close()
@@ -201,12 +206,14 @@
     async def script(f):
         peer = await f.asks()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
-        assert f.frontend.left == f.frontend.admission.active == 1
+        assert f.frontend.unfinished_connections == f.frontend.slots.active == 1
         f.nursery.start_soon(f.end)
-        await f.until(lambda: f.frontend.moving)
+        await f.until(lambda: f.frontend.migrating_all)
         connection.sendall(b"UP s-0\r\n")
         assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
-        assert f.frontend.left == 0 and f.driver.now() < f.driver._attempts_end_at  # at once, not with the last
+        assert (
+            f.frontend.unfinished_connections == 0 and f.driver.now() < f.driver._attempts_end_at
+        )  # at once, not with the last
         peer.stream.socket.close()
         await f.gone()
 
@@ -220,7 +227,7 @@
 
     async def and_given_up(*args):
         tried = await attempt(*args)
-        front.frontend.give_up_all()
+        front.frontend.reject_pending_requests()
         return tried
 
     async def script(f):
