--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,7 +16,7 @@
 from aspensaddle.frontends.line_protocol.notes import Notes, Teller
 from aspensaddle.frontends.line_protocol.relay import Relay
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.log import BACKLOG, Log
+from aspensaddle.support.log import MAX_QUEUED_LINES, Log
 
 
 class Driver:
@@ -174,10 +174,10 @@
 def test_a_log_that_nobody_reads_holds_up_nothing():
     read, write = os.pipe()
     log = Log("n0", write)
-    for n in range(3 * BACKLOG):
+    for n in range(3 * MAX_QUEUED_LINES):
         log.event("x", n=n, text="y" * 200)
     log.close()
-    assert log.dropped >= BACKLOG / 2
+    assert log.dropped >= MAX_QUEUED_LINES / 2
     os.close(read)
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -28,13 +28,13 @@
     classes = tuple(replace(MODULE_SETTINGS.classes[0], deadline=d) for d in (deadline, deadline / 2))
     p = ShutdownPhases.from_settings(replace(MODULE_SETTINGS, classes=classes), late)
     killed = min(MAX_DEADLINE_SECONDS, deadline) + KILL_MARGIN_SECONDS
-    assert 0 < p.newcomers < p.answered < p.emptied < p.closed < killed
-    assert killed - p.closed >= min(late, killed / 4)
+    assert 0 < p.migration_start < p.answer_deadline < p.drain_deadline < p.close_deadline < killed
+    assert killed - p.close_deadline >= min(late, killed / 4)
     if late <= 0.05 and deadline <= MAX_DEADLINE_SECONDS:
-        assert p.answered >= deadline  # who was taken right before has its whole time
-        assert p.emptied > NEW_CONNECTIONS_SECONDS  # nobody comes any more when the queue is emptied
+        assert p.answer_deadline >= deadline  # who was taken right before has its whole time
+        assert p.drain_deadline > NEW_CONNECTIONS_SECONDS  # nobody comes any more when the queue is emptied
     if deadline >= 0.6 and late <= 0.05:
-        assert p.newcomers > NEW_CONNECTIONS_SECONDS
+        assert p.migration_start > NEW_CONNECTIONS_SECONDS
 
 
 def lanes(deadline):
