--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -248,7 +248,7 @@
     def check_health(self, server: int) -> None:
         """Start a health check of a server."""
         assert self._nursery is not None
-        self._nursery.start_soon(self._supervisor.run_once, partial(self._servers.probe, server))
+        self._nursery.start_soon(self._supervisor.run_once, partial(self._servers.check_health, server))
 
     def timers_changed(self) -> None:
         """Note that the driver's next timer may be an earlier one."""
