--- a/aspensaddle/conformance/cases/retries.py
+++ b/aspensaddle/conformance/cases/retries.py
@@ -6,7 +6,7 @@
 from aspensaddle.conformance.quic_versions import V2
 from aspensaddle.conformance.raw_endpoint import RawEndpoint
 from aspensaddle.conformance.suite import case
-from aspensaddle.conformance.testbed import LIFETIME, Testbed, TestbedSetup
+from aspensaddle.conformance.testbed import TOKEN_LIFETIME, Testbed, TestbedSetup
 from aspensaddle.frontends.quic.initial import INVALID_TOKEN
 from aspensaddle.frontends.quic.packets import Packet, long_packets
 
@@ -113,7 +113,7 @@
 def token_expired(testbed: Testbed) -> None:
     raw = testbed.raw_endpoint()
     packet = retried(testbed, raw)
-    testbed.run(LIFETIME + 0.5)
+    testbed.run(TOKEN_LIFETIME + 0.5)
     raw.send(again(packet), testbed.address)
     testbed.wait(lambda: len(raw.got) > 1, "an answer")
     testbed.check(close_error_code(raw.got[1], packet.scid) == INVALID_TOKEN, "INVALID_TOKEN")
--- a/aspensaddle/conformance/link.py
+++ b/aspensaddle/conformance/link.py
@@ -1,4 +1,4 @@
-"""A link that loses, repeats, delays, reorders and cuts datagrams as its seed says. Free of I/O and time."""
+"""A link that loses, repeats, delays, reorders and truncates datagrams at random. Without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 @dataclass(slots=True)
 class Link:
-    """Shares of datagrams, delays in seconds. The default is a clean link."""
+    """A link. `loss`, `repeat` and `cut` are probabilities, delays are seconds. The default changes nothing."""
 
     seed: int = 0
     loss: float = 0.0
     repeat: float = 0.0
-    cut: float = 0.0  # loses its end, as no network does and every parser must bear
+    cut: float = 0.0  # truncated, which no network does but every parser must bear
     delay: float = 0.0
     jitter: float = 0.0  # on top, at random, which reorders
     _random: Random = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
+        """Seed the random numbers."""
         self._random = Random(self.seed)
 
     def pass_on(self, data: bytes) -> list[tuple[float, bytes]]:
-        """What becomes of a datagram: how long each copy takes, and what it holds."""
+        """Return the copies of a datagram that arrive, each with its delay in seconds."""
         r = self._random
         copies = 0 if r.random() < self.loss else 2 if r.random() < self.repeat else 1
         out = []
--- a/aspensaddle/conformance/net.py
+++ b/aspensaddle/conformance/net.py
@@ -1,6 +1,6 @@
-"""Networks that endpoints live in: real UDP sockets on the loopback, or none at all with a time of their own.
+"""Networks of endpoints: UDP sockets on the loopback in real time, or no sockets and simulated time.
 
-Both have one thread and move datagrams and timers until something is so.
+Both have one thread and deliver datagrams and run timers until a condition holds.
 """
 
 from __future__ import annotations
@@ -21,26 +21,33 @@
 
 
 class Endpoint(Protocol):
-    """Something with an address. `link_in` and `link_out` are on its way."""
+    """Something with an address. Its datagrams pass `link_in` and `link_out`."""
 
     address: Address
     link_in: Link
     link_out: Link
 
-    def received(self, data: bytes, source: Address) -> None: ...
-    def timer(self) -> float | None: ...
-    def expired(self) -> None: ...
+    def received(self, data: bytes, source: Address) -> None:
+        """Handle a datagram."""
+
+    def timer(self) -> float | None:
+        """Return the time of the next timer in seconds, None if there is none."""
+
+    def expired(self) -> None:
+        """Run the timers that are due."""
 
 
 class Net:
-    """Ends, links and timers. `now` is in seconds and only goes forward."""
+    """Endpoints, links and timers. Time only goes forward."""
 
     def __init__(self) -> None:
+        """Create a network without endpoints."""
         self.ends: list[Endpoint] = []
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._count = count()
 
     def now(self) -> float:
+        """Return the time in seconds."""
         raise NotImplementedError
 
     def bind(self, end: Endpoint) -> None:
@@ -48,7 +55,7 @@
         raise NotImplementedError
 
     def drop(self, end: Endpoint) -> None:
-        """Take an endpoint away."""
+        """Remove an endpoint."""
         if end in self.ends:
             self.ends.remove(end)
 
@@ -60,9 +67,11 @@
         raise NotImplementedError
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
+        """Call `call` in `delay` seconds."""
         heappush(self._due, (self.now() + delay, next(self._count), call))
 
     def send(self, source: Endpoint, data: bytes, to: Address) -> None:
+        """Send a datagram through the link of its source."""
         for delay, copy in source.link_out.pass_on(data):
             if delay > 0:
                 self.later(delay, lambda copy=copy: self._carry(source, copy, to))  # type: ignore[misc]
@@ -70,6 +79,7 @@
                 self._carry(source, copy, to)
 
     def arrive(self, end: Endpoint, data: bytes, source: Address) -> None:
+        """Deliver a datagram through the link of its destination."""
         for delay, copy in end.link_in.pass_on(data):
             if delay > 0:
                 self.later(delay, lambda copy=copy: end.received(copy, source))  # type: ignore[misc]
@@ -77,7 +87,7 @@
                 end.received(copy, source)
 
     def step(self, most: float) -> None:
-        """Carry out what is due, then let time pass until the next thing is, at most so long."""
+        """Do what is due, then let time pass until the next thing is, at most `most` seconds."""
         now = self.now()
         while self._due and self._due[0][0] <= now:
             heappop(self._due)[2]()
@@ -91,7 +101,7 @@
         self._idle(max(now, min([now + most, *nexts])))
 
     def until(self, done: Callable[[], Any], within: float = 10.0) -> bool:
-        """Go on until something is so; False where it is not in time."""
+        """Go on until `done` holds; return whether it did within the time, in seconds."""
         end = self.now() + within
         while not done():
             if self.now() >= end:
@@ -100,9 +110,11 @@
         return True
 
     def run(self, seconds: float) -> None:
+        """Let time pass."""
         self.until(lambda: False, seconds)
 
     def close(self) -> None:
+        """Remove all endpoints."""
         self.ends.clear()
 
 
@@ -161,7 +173,7 @@
 
 
 class MemoryNet(Net):
-    """No sockets, and a time that goes on as fast as it can: the same run for the same seeds of its links."""
+    """No sockets and simulated time: the same run for the same seeds of its links."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -191,6 +203,8 @@
         self.carry(data, source.address, to)
 
     def carry(self, data: bytes, source: Address, to: Address) -> None:
+        """Deliver a datagram from `source`, whether or not an endpoint has that address."""
+
         def land() -> None:
             if (end := self._by_address.get(to)) is not None:
                 self.arrive(end, data, source)
@@ -198,6 +212,7 @@
         self.later(HOP, land)
 
     def reaches(self, to: Address) -> bool:
+        """Return whether an endpoint has the address."""
         return to in self._by_address
 
     def _idle(self, until: float) -> None:
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -1,4 +1,4 @@
-"""Runs cases and tells how they went."""
+"""Runs cases and reports their results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from aspensaddle.conformance.testbed import NotApplicableError, RequirementNotMetError, Testbed, TestbedSetup
 
-# Numbers follow this order and that of the cases in each.
+# Cases are numbered in this order, and in that of each file.
 FILES = (
     "invariants",
     "handshakes",
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One requirement: where it stands, what it says in our words, how it is asked."""
+    """One requirement: the section that states it, a paraphrase, and the function that checks it."""
 
     number: int
     section: str
@@ -43,11 +43,14 @@
 
     @property
     def name(self) -> str:
+        """The name of its function."""
         return self.run.__name__
 
 
 @dataclass(frozen=True)
 class Result:
+    """The result of a case. `why` explains a verdict other than passed; `seconds` is how long it took."""
+
     number: int
     section: str
     says: str
@@ -73,7 +76,7 @@
 
 
 def load() -> list[Case]:
-    """All cases there are."""
+    """Return all cases."""
     if not CASES:
         for name in FILES:
             import_module(f"aspensaddle.conformance.cases.{name}")
@@ -87,7 +90,11 @@
     jobs: int = 1,
     told: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
-    """Run cases, those with the same bed one after the other on it, several beds at a time in processes."""
+    """Run cases and return the results by number.
+
+    Cases with the same setup run one after the other on one testbed; `jobs` testbeds run at a time, in processes.
+    `told` gets each result as it comes.
+    """
     groups: dict[object, list[int]] = {}
     for c in chosen:
         groups.setdefault(c.number if c.setup.alone else c.setup, []).append(c.number)
@@ -101,12 +108,12 @@
 
 
 def _group(numbers: list[int], memory: bool, seed: int) -> list[Result]:
-    """Cases by number, which have one bed: cases themselves don't pass between processes."""
+    """Run the cases of these numbers, which share a setup. Cases themselves cannot pass between processes."""
     cases = [c for c in load() if c.number in numbers]
-    return list(_on_one_bed(cases[0].setup, cases, memory, seed))
+    return list(_on_one_testbed(cases[0].setup, cases, memory, seed))
 
 
-def _on_one_bed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
+def _on_one_testbed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
     with TemporaryDirectory() as folder:
         testbed: Testbed | None = None
         for n, c in enumerate(cases):
@@ -137,7 +144,7 @@
 
 
 def table(results: list[Result]) -> str:
-    """The results as text, a line each, the counts at the end."""
+    """Return the results as text: a line each, then the counts."""
     lines = [f"{r.number:4}  {r.section:18} {r.verdict:15} {r.says}{f' ({r.why})' if r.why else ''}" for r in results]
     counts = {v: sum(r.verdict == v for r in results) for v in (PASSED, FAILED, NOT_APPLICABLE)}
     lines.append(", ".join(f"{n} {v}" for v, n in counts.items()))
@@ -145,4 +152,5 @@
 
 
 def as_json(results: list[Result]) -> list[dict[str, object]]:
+    """Return the results as JSON values."""
     return [asdict(r) for r in results]
