--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -165,7 +165,7 @@
 
     def counts(self) -> dict[str, int]:
         """Return the counters."""
-        counts: dict[str, int] = self._signal_and_wait(signal.SIGUSR1, "counters")["counts"]
+        counts: dict[str, int] = self._signal_and_wait(signal.SIGUSR1, "counters_reported")["counts"]
         return counts
 
     def terminate(self) -> None:
--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -31,16 +31,16 @@
     """When each phase ends, in seconds after SIGTERM.
 
     Attributes:
-        newcomers: New requests are rejected; from here on established connections are migrated.
-        answered: Every accepted request is answered and every established connection migrated.
-        emptied: The accept queue is drained.
-        closed: No client is waited for any more.
+        migration_start: New requests are rejected; from here on established connections are migrated.
+        answer_deadline: Every accepted request is answered and every established connection migrated.
+        drain_deadline: The accept queue is drained.
+        close_deadline: No client is waited for any more.
     """
 
-    newcomers: float
-    answered: float
-    emptied: float
-    closed: float
+    migration_start: float
+    answer_deadline: float
+    drain_deadline: float
+    close_deadline: float
 
     @classmethod
     def from_settings(cls, settings: Settings, event_loop_lag: float) -> ShutdownPhases:
@@ -52,10 +52,11 @@
         """
         longest_deadline = max(request_class.deadline for request_class in settings.classes)
         killed = min(MAX_DEADLINE_SECONDS, longest_deadline) + KILL_MARGIN_SECONDS
-        closed = max(killed / 2, killed - SLACK_SECONDS - min(event_loop_lag, killed / 4))
-        answered = closed - min(LINGER_SECONDS, killed / 4)
-        newcomers = min(NEW_CONNECTIONS_SECONDS + SLACK_SECONDS, answered / 2)
-        return cls(newcomers, answered, (answered + closed) / 2, closed)
+        close_deadline = max(killed / 2, killed - SLACK_SECONDS - min(event_loop_lag, killed / 4))
+        answer_deadline = close_deadline - min(LINGER_SECONDS, killed / 4)
+        migration_start = min(NEW_CONNECTIONS_SECONDS + SLACK_SECONDS, answer_deadline / 2)
+        drain_deadline = (answer_deadline + close_deadline) / 2
+        return cls(migration_start, answer_deadline, drain_deadline, close_deadline)
 
 
 class GracefulShutdown:
@@ -89,24 +90,24 @@
     async def _reject_new_requests(self) -> None:
         """Reject new requests. Accepted ones go on; no attempt begins too late for its answer to come."""
         self._frontend.accepting_requests = False
-        self._frontend.driver.stop_attempts_after(self._time_left(self._phases.answered))
-        await self._sleep_until(self._phases.newcomers)
+        self._frontend.driver.stop_attempts_after(self._time_left(self._phases.answer_deadline))
+        await self._sleep_until(self._phases.migration_start)
 
     async def _migrate_connections(self) -> None:
         """Migrate established connections, spread evenly; those established from now on migrate at once."""
         self._frontend.migrating_all = True
         begun = trio.current_time()
-        time_left = self._time_left(self._phases.answered)
+        time_left = self._time_left(self._phases.answer_deadline)
         span = max(STEP_SECONDS, min(MIGRATION_SPREAD_SECONDS, time_left - 2 * STEP_SECONDS))
         connections = list(self._frontend.open_connections.values())
         migrated = 0
-        while self._frontend.unfinished_connections and self._time_left(self._phases.answered) > 0:
+        while self._frontend.unfinished_connections and self._time_left(self._phases.answer_deadline) > 0:
             progress = (trio.current_time() - begun) / span
             due = min(len(connections), 1 + int(len(connections) * progress))
             for connection in connections[migrated:due]:
                 connection.migrate()
             migrated = due
-            await self._sleep_until(self._phases.answered, at_most=STEP_SECONDS)
+            await self._sleep_until(self._phases.answer_deadline, at_most=STEP_SECONDS)
 
     def _answer_the_rest(self) -> None:
         """Migrate and answer at once whatever is left."""
@@ -121,15 +122,15 @@
             before = self._frontend.counters["connections"]
             has_room = self._frontend.accept(self._listener, self._nursery)
             is_empty = has_room and self._frontend.counters["connections"] == before
-            if is_empty or self._time_left(self._phases.emptied) <= 0:
+            if is_empty or self._time_left(self._phases.drain_deadline) <= 0:
                 return
             await trio.sleep(0 if has_room else STEP_SECONDS)
 
     async def _close_connections(self) -> None:
         """Let clients read their answer, then cut what is still open."""
         admission = self._frontend.slots
-        while admission.open and self._time_left(self._phases.closed) > 0:
-            await self._sleep_until(self._phases.closed, at_most=STEP_SECONDS)
+        while admission.open and self._time_left(self._phases.close_deadline) > 0:
+            await self._sleep_until(self._phases.close_deadline, at_most=STEP_SECONDS)
         admission.abort_all_lingering()
         while admission.count(ConnectionStage.LINGERING):
             await trio.sleep(0)
--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -48,7 +48,7 @@
         evicted: It was evicted before its first line arrived.
     """
 
-    __slots__ = ("link", "stage", "first_line_scope", "linger_scope", "evicted")
+    __slots__ = ("evicted", "first_line_scope", "linger_scope", "link", "stage")
 
     def __init__(self, link: Link) -> None:
         """Start to wait for the first line."""
--- a/aspensaddle/frontends/line_protocol/load_report_parser.py
+++ b/aspensaddle/frontends/line_protocol/load_report_parser.py
@@ -66,7 +66,7 @@
         load: The connection's load as last reported.
     """
 
-    __slots__ = ("load", "_load_before", "_schedule", "_max_latency_ms", "_first_figure_until")
+    __slots__ = ("_first_figure_until", "_load_before", "_max_latency_ms", "_schedule", "load")
 
     def __init__(self, settings: Settings, schedule: LatencySchedule, established_at: float) -> None:
         """Start for a connection established at a time in seconds, to the server of `schedule`."""
--- a/aspensaddle/frontends/line_protocol/open_request.py
+++ b/aspensaddle/frontends/line_protocol/open_request.py
@@ -103,11 +103,8 @@
     An empty wait is invalid: it could not be replaced in the line, and every server would answer ERR.
     """
     wait = values.get("d")
-    if (
-        wait is None
-        and "at" not in values
-        or wait is not None
-        and (not wait.isdigit() or len(wait) > MAX_WAIT_DIGITS)
+    if (wait is None and "at" not in values) or (
+        wait is not None and (not wait.isdigit() or len(wait) > MAX_WAIT_DIGITS)
     ):
         raise InvalidOpenError("d is not a number of milliseconds")
     return int(wait) / 1000 if wait else math.inf
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -108,15 +108,14 @@
     async def _attempt_at_server(
         self, placement: _Placement, start: StartAttempt
     ) -> AttemptEstablished | AttemptFailed:
-        result: AttemptEstablished | AttemptFailed = AttemptFailed(Outcome.CANCELLED)
         with placement.state.attempt_scope:
-            result = await self._frontend.connector.attempt(
+            return await self._frontend.connector.attempt(
                 start.server,
                 placement.open_request.line_for_server,
                 start.timeout,
                 lambda: self._frontend.driver.may_start_attempt(start.request_id),
             )
-        return result
+        return AttemptFailed(Outcome.CANCELLED)
 
     def _resolve(self, placement: _Placement) -> None:
         """Settle what the client gets when a decision or its own fault crossed the last attempt."""
--- a/aspensaddle/frontends/quic/answers.py
+++ b/aspensaddle/frontends/quic/answers.py
@@ -1,5 +1,6 @@
 """What the front says of its own: negotiations, Retries, refusals, failures, resets. Each at most once for what
-calls for it, never larger than that, and out of an allowance."""
+calls for it, never larger than that, and out of an allowance.
+"""
 
 from __future__ import annotations
 
--- a/aspensaddle/frontends/quic/directory.py
+++ b/aspensaddle/frontends/quic/directory.py
@@ -58,7 +58,8 @@
         self, configs: Iterable[IdConfig], unroutable_length: int = 0, before: Directory | None = None
     ) -> None:
         """`unroutable_length`: octets of ids under 0b111 where all runners make them alike; 0 where they don't.
-        `before`: the directory that this one replaces, whose runners are remembered as departed."""
+        `before`: the directory that this one replaces, whose runners are remembered as departed.
+        """
         self.configs = {c.format.rotation: c for c in configs}
         # The length of an id by the top three bits of its first octet; 0: not to be told.
         self.lengths = [self.configs[r].format.length if r in self.configs else 0 for r in range(CODEPOINTS - 1)] + [
@@ -109,7 +110,7 @@
     def reads(self, cid: bytes, unix: float) -> bool:
         """Whether an id is one by which a session may still be found."""
         config = self.configs.get(cid[0] >> 5)
-        return cid[0] >> 5 == UNROUTABLE or config is not None and not config.retired(unix)
+        return cid[0] >> 5 == UNROUTABLE or (config is not None and not config.retired(unix))
 
     def retiring(self, unix: float) -> bool:
         """Whether a configuration has retired since this was last asked."""
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -147,7 +147,8 @@
 
     def _initial(self, data: bytes, peer: Peer, packets: list[Packet]) -> None:
         """An Initial to an id that nothing is remembered of: a client opens a connection, or one that another
-        balancer has placed goes on here."""
+        balancer has placed goes on here.
+        """
         ctx, packet = self.ctx, packets[0]
         if len(data) < FIRST_DATAGRAM:
             ctx.counters.add("quic short initials")
--- a/aspensaddle/frontends/quic/flight.py
+++ b/aspensaddle/frontends/quic/flight.py
@@ -29,7 +29,7 @@
 class Flight:
     """A client's first datagrams to one id that it made up, or was given by a Retry."""
 
-    __slots__ = ("keys", "hello", "_initials", "_early", "_reassembly", "_seen")
+    __slots__ = ("_early", "_initials", "_reassembly", "_seen", "hello", "keys")
 
     def __init__(self, dcid: bytes) -> None:
         self.keys = InitialKeys(dcid)
@@ -50,7 +50,8 @@
 
     def first(self, packet: Packet) -> InitialFrames | None:
         """The frames of what may be a client's first Initial: it opens under the keys of the very id it is sent
-        to and carries a part of the ClientHello. A later one has the keys of the first."""
+        to and carries a part of the ClientHello. A later one has the keys of the first.
+        """
         frames = self.keys.open(packet, from_client=True)
         return frames if frames is not None and frames.crypto else None
 
--- a/aspensaddle/frontends/quic/hello.py
+++ b/aspensaddle/frontends/quic/hello.py
@@ -38,7 +38,7 @@
 class Reassembly:
     """The CRYPTO stream of a client's Initials from its beginning on (RFC 9000, 7.5 and 19.6)."""
 
-    __slots__ = ("_head", "_apart")
+    __slots__ = ("_apart", "_head")
 
     def __init__(self) -> None:
         self._head = b""  # what has come without a gap
@@ -73,7 +73,8 @@
 
     def message(self) -> bytes | None:
         """The whole first handshake message, or None while it is not there yet. Raises `HelloError` where what
-        is there can't become a ClientHello."""
+        is there can't become a ClientHello.
+        """
         head = self._head
         if head and head[0] != CLIENT_HELLO:
             raise HelloError("the first TLS message is no ClientHello")
--- a/aspensaddle/frontends/quic/ids.py
+++ b/aspensaddle/frontends/quic/ids.py
@@ -94,7 +94,8 @@
 
     def _passes(self, body: bytes, order: tuple[int, int, int, int]) -> bytes:
         """Draft, 5.4.2. Odd passes change the right half by the left one, even passes the other way round, so
-        the same passes backwards undo them. Halves of an odd number of octets share the middle one."""
+        the same passes backwards undo them. Halves of an odd number of octets share the middle one.
+        """
         assert self._encryptor is not None
         length = len(body)
         half = (length + 1) // 2
@@ -122,5 +123,6 @@
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
     """The stateless reset token of an id (RFC 9000, 10.3.2): runners issue it, and whoever has the key can
-    send the reset."""
+    send the reset.
+    """
     return hmac.digest(key, b"stateless reset" + cid, "sha256")[:TOKEN]
--- a/aspensaddle/frontends/quic/initial.py
+++ b/aspensaddle/frontends/quic/initial.py
@@ -30,7 +30,7 @@
 class InitialKeys:
     """The keys of both sides that a client-chosen id gives, for each version in use."""
 
-    __slots__ = ("dcid", "_pairs")
+    __slots__ = ("_pairs", "dcid")
 
     def __init__(self, dcid: bytes) -> None:
         self.dcid = dcid
--- a/aspensaddle/frontends/quic/packets.py
+++ b/aspensaddle/frontends/quic/packets.py
@@ -108,7 +108,8 @@
 
 def stateless_reset(token: bytes, trigger: int) -> bytes | None:
     """A reset smaller than the datagram that calls for it, so that two of its kind can't answer each other
-    for ever; None where there is no room."""
+    for ever; None where there is no room.
+    """
     size = min(trigger - 1, 42)
     if size < RESET_LEAST:
         return None
@@ -119,7 +120,8 @@
 
 def negotiated_away(data: bytes, version: int, dcid: bytes, scid: bytes) -> bool:
     """Whether a server's datagram is a Version Negotiation for the client's Initial that had these fields: the
-    ids come back the other way round and the version is not among those offered (RFC 9000, 6.2)."""
+    ids come back the other way round and the version is not among those offered (RFC 9000, 6.2).
+    """
     try:
         seen = parse_invariants(data)
     except Malformed:
--- a/aspensaddle/frontends/quic/placing.py
+++ b/aspensaddle/frontends/quic/placing.py
@@ -213,7 +213,8 @@
 
     def _redirected(self, session: Session, placing: Placing, path: Path, data: bytes, dcid: bytes) -> None:
         """A Retry or a Version Negotiation: the client comes again, under the id in the Retry or with another
-        version, and has other keys. It is the same attempt, at the same runner."""
+        version, and has other keys. It is the same attempt, at the same runner.
+        """
         if placing.bound:
             return  # a client takes one only
         placing.bound = True
--- a/aspensaddle/frontends/quic/rules.py
+++ b/aspensaddle/frontends/quic/rules.py
@@ -107,7 +107,7 @@
     if label is not None and token is not None:
         raise DecodeError("group_token: there is a group_label already; a group comes from one of them")
     source = m.get("group_from", "sni")
-    if source not in ("sni", "alpn") or source == "alpn" and token is None:
+    if source not in ("sni", "alpn") or (source == "alpn" and token is None):
         raise DecodeError("group_from must be sni or, with a group_token, alpn")
     if cls is None and label is None and token is None:
         raise DecodeError("class: a rule needs a class, a group_label or a group_token")
@@ -118,7 +118,7 @@
     """A string, or several."""
     value = m.get(name, [])
     values = value if type(value) is list else [value]
-    if any(type(v) is not str or not 0 < len(v) <= 255 for v in values) or name in m and not values:
+    if any(type(v) is not str or not 0 < len(v) <= 255 for v in values) or (name in m and not values):
         raise DecodeError(f"{name} must be a string or an array of strings")
     return tuple(values)
 
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -43,7 +43,7 @@
             return bool(dcid) and dcid == self.proof
         self.turns += self.told
         self.told = False
-        return self.turns >= TURNS or self.challenged and size >= CHALLENGE
+        return self.turns >= TURNS or (self.challenged and size >= CHALLENGE)
 
     def spend(self, size: int) -> bool:
         """Whether so much may be sent to it."""
@@ -58,7 +58,8 @@
 @dataclass(eq=False, slots=True)
 class Path:
     """One address of a client, seen by one runner as an address of its own. A client that changes its port gets a
-    new path, and the runner validates it end to end (RFC 9000, 9): nobody on the way could."""
+    new path, and the runner validates it end to end (RFC 9000, 9): nobody on the way could.
+    """
 
     session: Session
     peer: Peer
--- a/aspensaddle/frontends/quic/sessions.py
+++ b/aspensaddle/frontends/quic/sessions.py
@@ -69,11 +69,12 @@
 
     def adopt(self, peer: Peer, server: int) -> Session | None:
         """A session that began at another balancer, or here before a restart. Until its runner has said enough
-        it is one of a bounded number, of which the oldest makes room: guards against ids made up."""
+        it is one of a bounded number, of which the oldest makes room: guards against ids made up.
+        """
         if not self._adoptions.take(self.ctx.now):
             self.ctx.counters.add("quic not adopted")
             return None
-        while len(self._unsure) >= self.ctx.settings.most_pending or self._unsure and self.full:
+        while len(self._unsure) >= self.ctx.settings.most_pending or (self._unsure and self.full):
             _, oldest = self._unsure.popitem(last=False)
             self.end(oldest, UNSURE)
         if self.full:
--- a/aspensaddle/frontends/quic/slots.py
+++ b/aspensaddle/frontends/quic/slots.py
@@ -31,7 +31,8 @@
 
     def take(self, runner: R, now: float) -> int | None:
         """The lowest socket free at a runner, so that few sockets are in use; None where all are taken or rest.
-        Low numbers come first, but a rested pair only when it has rested."""
+        Low numbers come first, but a rested pair only when it has rested.
+        """
         free = self._free.setdefault(runner, [])
         resting = self._resting.get(runner)
         while resting and resting[0][0] <= now:
--- a/aspensaddle/frontends/quic/sockets.py
+++ b/aspensaddle/frontends/quic/sockets.py
@@ -1,5 +1,6 @@
 """The UDP sockets of the front: one towards clients, and numbered ones towards runners, of which each serves a
-path at every runner. All are watched by one epoll, so that none costs a task."""
+path at every runner. All are watched by one epoll, so that none costs a task.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,8 @@
 
 class Sockets:
     """`from_client(data, peer)`, `from_runner(data, slot, runner)` and `unreachable(slot, runner)` are called for
-    what comes in."""
+    what comes in.
+    """
 
     def __init__(self, listen: Address, counters: Counters) -> None:
         self.counters = counters
--- a/aspensaddle/frontends/quic/tokens.py
+++ b/aspensaddle/frontends/quic/tokens.py
@@ -76,7 +76,8 @@
 
 class Tokens:
     """Seals and checks tokens with the keys in force. The key that came into force last seals; each opens until
-    its end, so that a key can be rolled without a client noticing."""
+    its end, so that a key can be rolled without a client noticing.
+    """
 
     def __init__(self, keys: Iterable[TokenKey], lifetime: float) -> None:
         """`lifetime`: seconds for which a token is good. Raises `ValueError` where two keys have one number."""
@@ -104,7 +105,8 @@
 
     def read(self, token: bytes, unix: float) -> Proof | None:
         """What a genuine token says; None where none of the keys in force has sealed it. A runner behind the front
-        asks this: the ids are for its transport parameters (RFC 9000, 7.3), the address was checked before it."""
+        asks this: the ids are for its transport parameters (RFC 9000, 7.3), the address was checked before it.
+        """
         if len(token) < LEAST or not token[0] & SERVICE:
             return None
         known = self._keys.get(token[0] & MOST_SEQUENCE)
--- a/aspensaddle/store/messages.py
+++ b/aspensaddle/store/messages.py
@@ -151,7 +151,7 @@
     if type(value) is not list or len(value) != 4:
         raise DecodeError("an entry must be [key, version, node, value]")
     key, version, node, content = value
-    if type(version) is not int or content is not None and type(content) is not str:
+    if type(version) is not int or (content is not None and type(content) is not str):
         raise DecodeError("an entry must be [key, version, node, value]")
     return Entry(_string(key, "key"), version, _string(node, "node"), content)
 
--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -70,11 +70,8 @@
             for key in [key for key in open_ if key[0] == balancer]:
                 lost = open_.pop(key)
                 lost.end, lost.reason = t, "lost"
-        if (
-            e["event"] == "connection_adopted"
-            and e["established"]
-            or e["event"] == "request"
-            and e["response"] == "UP"
+        if (e["event"] == "connection_adopted" and e["established"]) or (
+            e["event"] == "request" and e["response"] == "UP"
         ):
             every.append(
                 open_.setdefault(
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -12,7 +12,7 @@
 from aspensaddle.core.actions import Action, Fail, Reject, StartAttempt
 from aspensaddle.core.events import ConnectionLoadReported, Endpoint, Outcome, ServerLatencyReported
 from aspensaddle.core.settings import Limits, ServiceRules, Settings
-from aspensaddle.discovery.endpoint_registry import Fleet as EndpointRegistry
+from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 
 LOAD = 0.05  # of a core, the mean connection
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -44,7 +44,7 @@
 def shortage_of(available: float, **more: float) -> CapacityShortage:
     """Ten servers of one core each, with `available` cores in all and 100 connections in the fleet."""
     shortage = CapacityShortage()
-    figures = {"fleet_connections": 100, "unseen_fraction": 1.0, "lost_connections": 0.0, **more}
+    figures = {"fleet_connections": 100, "weight": 1.0, "lost_connections": 0.0, **more}
     shortage.update([ServerCapacity(1.0, available / 10)] * 10, **figures)
     return shortage
 
@@ -72,5 +72,5 @@
 
 
 def test_balancer_that_sees_the_whole_fleet_finds_no_shortage():
-    shortage = shortage_of(0.0, unseen_fraction=0.0, lost_connections=9.0)
+    shortage = shortage_of(0.0, weight=0.0, lost_connections=9.0)
     assert (shortage.missing, shortage.max_connection_load) == (0.0, float("inf"))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -68,7 +68,7 @@
                 assert c.open() == b"UP s-1\r\n"
         assert standing.echo(b"M 2") == b"M 2\r\n"
     counts = w.program.counts()
-    assert counts["connections_established"] == 5 and counts["reloads"] == 1  # counted on, not anew
+    assert counts["connections_established"] == 5 and counts["reloads_requested"] == 1  # counted on, not anew
 
 
 def test_a_bad_file_is_named_and_the_old_one_stays_in_force(world):
--- a/tests/test_slow_start_limit.py
+++ b/tests/test_slow_start_limit.py
@@ -49,5 +49,5 @@
 def test_attempts_at_a_warming_server_keep_an_interval(elapsed, held_back):
     """Two connections of 0.01 of a core take 0.222 s at 0.09 of a core per second."""
     harness = half_warm_harness()
-    harness.balancer.servers[1].attempted_at = harness.now - elapsed
+    harness.balancer.servers[1].last_attempt_at = harness.now - elapsed
     assert holds_back(harness, server=1, draw=1e-9)[0] is held_back
