--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown after SIGTERM, in phases whose ends follow from the settings (`docs/shutdown.md`).
 
 Requests in flight are answered, connections are migrated, the accept queue is drained, then everything is closed.
-Work that is late in a phase is cut short by an answer; no connection ends without one.
+Work that is late in a phase is ended by a response; no connection ends without one.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPhases:
-    """When each phase ends, in seconds after SIGTERM.
+    """Times of the shutdown, in seconds after SIGTERM, from which on new requests are rejected.
 
     Attributes:
-        migration_start: New requests are rejected; from here on established connections are migrated.
+        migration_start: From here on established connections are migrated.
         answer_deadline: Every accepted request is answered and every established connection migrated.
         drain_deadline: The accept queue is drained.
         close_deadline: No client is waited for any more.
@@ -51,9 +51,9 @@
             event_loop_lag: Recent lag in seconds, which each step of the shutdown may find again.
         """
         longest_deadline = max(request_class.deadline for request_class in settings.classes)
-        killed = min(MAX_DEADLINE_SECONDS, longest_deadline) + KILL_MARGIN_SECONDS
-        close_deadline = max(killed / 2, killed - SLACK_SECONDS - min(event_loop_lag, killed / 4))
-        answer_deadline = close_deadline - min(LINGER_SECONDS, killed / 4)
+        kill_time = min(MAX_DEADLINE_SECONDS, longest_deadline) + KILL_MARGIN_SECONDS
+        close_deadline = max(kill_time / 2, kill_time - SLACK_SECONDS - min(event_loop_lag, kill_time / 4))
+        answer_deadline = close_deadline - min(LINGER_SECONDS, kill_time / 4)
         migration_start = min(NEW_CONNECTIONS_SECONDS + SLACK_SECONDS, answer_deadline / 2)
         drain_deadline = (answer_deadline + close_deadline) / 2
         return cls(migration_start, answer_deadline, drain_deadline, close_deadline)
@@ -127,12 +127,12 @@
             await trio.sleep(0 if has_room else STEP_SECONDS)
 
     async def _close_connections(self) -> None:
-        """Let clients read their answer, then cut what is still open."""
-        admission = self._frontend.slots
-        while admission.open and self._time_left(self._phases.close_deadline) > 0:
+        """Let clients read their response, then abort lingering closes and wait for their tasks to end."""
+        slots = self._frontend.slots
+        while slots.open and self._time_left(self._phases.close_deadline) > 0:
             await self._sleep_until(self._phases.close_deadline, at_most=STEP_SECONDS)
-        admission.abort_all_lingering()
-        while admission.count(ConnectionStage.LINGERING):
+        slots.abort_all_lingering()
+        while slots.count(ConnectionStage.LINGERING):
             await trio.sleep(0)
 
 
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -14,7 +14,7 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-# Fields on which the process, or the numbers of everything in flight, are built.
+# Fields that the process and the requests in flight refer to.
 FIXED_FIELDS = ("name", "listen", "seed", "zones")
 FIXED_SETTINGS = ("zone", "zone_count", "machine_types", "balancer_index", "polls_discovery", "pass_through")
 CHANGEABLE_FIELDS = ("discovery", "limits", "known", "settings")
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -129,7 +129,7 @@
     async def run(self) -> None:
         """Run until SIGTERM or SIGINT, and shut down."""
         with trio.open_signal_receiver(*SIGNALS) as signals:
-            # Before any client is answered. A SIGHUP that came during the start is received now.
+            # Unblock SIGHUP before serving: one that was sent during the start is delivered now.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
             listener = Listener(self._config.listen)
             if self._quic is not None:
@@ -142,7 +142,7 @@
     def _start_tasks(self, nursery: trio.Nursery, listener: Listener) -> None:
         self._driver.start(self._registry.apply(self._config.known))
         if isinstance(self._endpoint_source, EndpointWatcher):
-            # From the first moment: what a local agent has counts as known, and asking it costs nothing.
+            # The driver asks for a stored source itself; the watcher starts now, after its own delay.
             nursery.start_soon(self._supervisor.run_once, self._endpoint_source.start, self._report_failed_update)
         supervise = self._supervisor.supervise
         nursery.start_soon(supervise, self._run_timers)
--- a/aspensaddle/discovery/endpoint_update.py
+++ b/aspensaddle/discovery/endpoint_update.py
@@ -73,7 +73,7 @@
     address = _parse_endpoint_address(message, state)
     weight, boot_ms = number(message, "capacity_hint", 1.0), number(message, "boot_ms", 0)
     if not 0 <= weight < MAX_WEIGHT:
-        raise DecodeError(f"capacity_hint must be a number from 0 up, not {weight!r:.60}")
+        raise DecodeError(f"capacity_hint must be a number from 0 to under {MAX_WEIGHT:g}, not {weight!r:.60}")
     return EndpointRecord(
         uid=uid,
         address=address,
--- a/aspensaddle/discovery/watch_policy.py
+++ b/aspensaddle/discovery/watch_policy.py
@@ -19,7 +19,7 @@
 INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 2.0
 
-# After SIGHUP, what a new address has counts as known from this time on; until then backoff stays short.
+# For this long after a change of the address backoff stays short; what a new address has counts as known after it.
 RELOCATION_SECONDS = 4.0
 
 # Where lists are pushed, a local agent has them: it answers at once and what it has counts as known at once.
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -78,6 +78,7 @@
             return await self._adopter.run(link, open_request, open_request.adopted_server)
         lag = self._frontend.event_loop_lag
         if lag.passes > loop_passes + MAX_LOOP_PASSES_SINCE_ACCEPT:
+            # The line may have arrived after its connection: it counts from this pass of the event loop.
             arrived_at = lag.since
         return await self._requests.run(link, open_request, arrived_at)
 
--- a/aspensaddle/frontends/line_protocol/health_checker.py
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -27,7 +27,8 @@
 def parse_report(line: bytes, fields: tuple[str, ...]) -> dict[str, float] | None:
     """Parse the report behind the first word of a response, `NAME=FIGURE,..`.
 
-    Only `fields` count. Returns None for a line with anything else in it, a field twice or a figure that is none.
+    Only `fields` count. Returns None for a line without any of them, or with anything else in it, a field twice or a
+    figure that is none.
     """
     report: dict[str, float] = {}
     for item in line.decode("latin-1").split()[1:2]:
@@ -72,7 +73,7 @@
     async def check(self, server: int) -> None:
         """Ask a server for its load and report it to the driver; a late report counts as none.
 
-        The connection is kept for the next health check, since opening one costs the server ten times as much. With
+        The connection is kept for the next health check, to spare the server the cost of opening one. With
         as many as allowed kept or in use, the check is deferred.
         """
         self._counters.add("health_checks_started")
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -34,7 +34,7 @@
         load_report_parser: Parser of the server's LOAD lines.
         outcome: How the connection ended.
         client_at_line_end: The client has received complete lines only.
-        reset: One side reset its connection, which is to be passed on.
+        reset: A connection broke, or the client took a line too slowly: the other side is reset too.
         server_silent: The server left a line unanswered for too long.
     """
 
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -118,7 +118,7 @@
         return AttemptFailed(Outcome.CANCELLED)
 
     def _resolve(self, placement: _Placement) -> None:
-        """Settle what the client gets when a decision or its own fault crossed the last attempt."""
+        """Resolve the response if a final decision or a protocol violation came during the last attempt."""
         state = placement.state
         if placement.established is not None and state.final is not None:
             placement.established.link.close()
--- a/aspensaddle/frontends/line_protocol/request_state.py
+++ b/aspensaddle/frontends/line_protocol/request_state.py
@@ -78,7 +78,7 @@
 
     @property
     def protocol_violation(self) -> bool:
-        """Whether the client has sent a command, or more than a line, before its response.
+        """Whether the client has sent a command, or has `MAX_LINE_BYTES` or more unread, before its response.
 
         Without this, the first of many requests sent at once would be served as if it were the only one.
         """
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -40,7 +40,7 @@
 
     Attributes:
         link: The connection to the server.
-        response: What the server has sent, from its UP on.
+        response: Its response line, followed by the LOAD lines that came before it.
     """
 
     link: Link
--- a/aspensaddle/store/messages.py
+++ b/aspensaddle/store/messages.py
@@ -17,7 +17,7 @@
 MAX_DATAGRAM_BYTES = 8192
 TAG_BYTES = 32
 ENVELOPE_BYTES = 200  # at most, of a datagram beside its entries
-MAX_CLOCK_DIFFERENCE_MS = 60_000  # between two nodes; an older datagram is a replay
+MAX_CLOCK_DIFFERENCE_MS = 60_000  # between the clocks of two nodes; bounds how long a datagram can be replayed
 
 
 @dataclass(slots=True)
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -125,7 +125,7 @@
             return
         try:
             self._handle_message(message.node, message.body, peer)
-        except Exception:  # an internal error costs one datagram, not the daemon
+        except Exception:  # drop the datagram and keep serving
             self.counters.add("internal_errors")
 
     def _handle_message(self, node: str, body: Body, peer: Address) -> None:
--- a/aspensaddle/store/state.py
+++ b/aspensaddle/store/state.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-MAX_KEYS = 4096  # 1,024 servers and as many balancers; removed keys count too
+MAX_KEYS = 4096  # room for 1,024 servers, as many balancers and removed keys, which count too
 MAX_VALUE_BYTES = 4096  # as JSON
 MAX_VERSION_LEAD_MS = 300_000  # before this clock; a version far in the future would win for ever
 BUCKET_COUNT = 256  # one octet of a hash; 16 keys each if all are taken
@@ -152,7 +152,7 @@
         _check_node(entry.node)
         _check_value(entry.value)
         if not 0 < entry.version <= self._clock_ms() + MAX_VERSION_LEAD_MS:
-            raise StoreError("version", f"{entry.version} is not near this clock")
+            raise StoreError("version", f"{entry.version} is too far in the future")
         if entry.key not in self.entries and self._is_full(entry.key):
             raise StoreError("key", "no room for another")
 
--- a/aspensaddle/support/event_loop_lag.py
+++ b/aspensaddle/support/event_loop_lag.py
@@ -11,7 +11,7 @@
 
 
 class EventLoopLagMonitor(trio.abc.Instrument):
-    """Times the passes of one event loop, at the cost of two clock readings a pass.
+    """Times the passes of one event loop.
 
     What an I/O wait returns arrived at its end if the wait slept; otherwise, at the earliest, after the wait before.
 
--- a/aspensaddle/support/files.py
+++ b/aspensaddle/support/files.py
@@ -1,4 +1,4 @@
-"""Reads JSON and an operator's TOML within size limits; errors name the file, the line and the field."""
+"""Reads JSON, and an operator's TOML within a size limit; errors of a TOML file name it, the line and the field."""
 
 from __future__ import annotations
 
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -64,7 +64,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what is queued, and wait for it no longer than `FLUSH_TIMEOUT_SECONDS`."""
+        """Write what is queued, and wait for it at most twice `FLUSH_TIMEOUT_SECONDS`."""
         try:
             self._queue.put(None, timeout=FLUSH_TIMEOUT_SECONDS)
         except queue.Full:
