--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from aspensaddle.core.machine_types import load_machines
+from aspensaddle.core.machine_types import load_machine_types
 from aspensaddle.core.settings import Settings
 from aspensaddle.core.settings_parser import parse_settings
 from aspensaddle.discovery.endpoint_update import EndpointListUpdate, parse_endpoint_list
@@ -189,7 +189,7 @@
             message = _read_json_file(path)
             overrides = self._find_overrides(message) if self._overrides is None else self._overrides
             config = parse_config({**message, **overrides})
-            config = replace(config, settings=load_machines(self._environ).into(config.settings))
+            config = replace(config, settings=load_machine_types(self._environ).apply_to(config.settings))
         except OSError as error:
             raise UnreadableFileError(f"{CONFIG_VARIABLE}: {path}", error.strerror) from None
         except DecodeError as error:
--- a/aspensaddle/simulator_adapter/host.py
+++ b/aspensaddle/simulator_adapter/host.py
@@ -12,7 +12,7 @@
 from aspensaddle.core.actions import Action
 from aspensaddle.core.balancer import Balancer
 from aspensaddle.core.events import Started
-from aspensaddle.core.machine_types import load_machines
+from aspensaddle.core.machine_types import load_machine_types
 from aspensaddle.core.settings_parser import parse_settings
 from aspensaddle.simulator_adapter.wire import EVENT_PARSERS, EndpointLists, parse_endpoints, render
 from aspensaddle.support.json_fields import DecodeError, Message, array, integer, number, obj, text
@@ -25,7 +25,7 @@
         """Start without balancers. Raises `ConfigError` where the operator's file of machine types is wrong."""
         self._balancers: dict[int, Balancer] = {}
         self._endpoint_lists: EndpointLists = {}
-        self._machine_types = load_machines()
+        self._machine_types = load_machine_types()
 
     def reply(self, line: bytes) -> bytes:
         """Return the reply to one batch. Raises `DecodeError` naming the field that is not as the wire has it."""
@@ -91,7 +91,7 @@
         seed = integer(message, "init-seed")
         options = obj(message, "options")
         try:
-            settings = self._machine_types.into(parse_settings(options))
+            settings = self._machine_types.apply_to(parse_settings(options))
         except DecodeError as error:
             raise DecodeError(f"options.{error}") from None
         balancer = self._balancers[instance] = Balancer(settings, seed)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -10,7 +10,7 @@
 import pytest
 from standins import SETTINGS
 
-from aspensaddle.core.machine_types import load_machines
+from aspensaddle.core.machine_types import load_machine_types
 from aspensaddle.simulator_adapter.host import Host
 from aspensaddle.support.config_errors import ConfigError
 
@@ -20,9 +20,9 @@
 def test_speeds_come_from_the_file_by_kind_and_are_one_where_it_names_none(tmp_path):
     file = tmp_path / "machines.toml"
     file.write_text('group_cost = 1.5\n[speed]\n"big one" = 2\n')
-    machines = load_machines({"ASPENSADDLE_MACHINES": str(file)})
+    machines = load_machine_types({"ASPENSADDLE_MACHINES": str(file)})
     assert machines.group_cost == 1.5 and machines.speeds == {"big one": 2.0}
-    assert load_machines({"ASPENSADDLE_MACHINES": str(tmp_path / "none.toml")}).group_cost == 3.0
+    assert load_machine_types({"ASPENSADDLE_MACHINES": str(tmp_path / "none.toml")}).group_cost == 3.0
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     file = tmp_path / "machines.toml"
     file.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(says)):
-        load_machines({"ASPENSADDLE_MACHINES": str(file)})
+        load_machine_types({"ASPENSADDLE_MACHINES": str(file)})
 
 
 def decisions(settings: dict, tmp_path) -> list:
