--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -125,15 +125,19 @@
         self.passive_measurement.cut_worst(now)
         self.outlier_ejection.readmit_holding(now)
         self.latency_outliers.clear_silent(now)
-        self.rotation.refresh_unsettled(now, by_warm_up=bool(self.passive_measurement.slot % WARM_UP_REFRESH_TICKS))
+        self.rotation.refresh_time_dependent_servers(
+            now, include_warming_up=bool(self.passive_measurement.slot % WARM_UP_REFRESH_TICKS)
+        )
         self.latency_outliers.survey(now)
         self.outlier_ejection.decay_lost_connections()
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
         self.accounting.smooth_typical_load()
-        # Raised ratios can wait for the end of a window, a changed list cannot.
-        if self.rotation.needs_layout or (not self.passive_measurement.slot and self.rotation.raised):
-            self.rotation.lay_out(now, self.accounting.weigh)
+        # Pending ratio increases can wait for the end of a window, a changed list cannot.
+        if self.rotation.needs_rebuild or (
+            not self.passive_measurement.slot and self.rotation.pending_ratio_increase
+        ):
+            self.rotation.rebuild(now, self.accounting.weigh)
         return [*self.health_checks.due(now), *self.migration.rebalance(), *self.migration.heavy_connections(now)]
 
     def _endpoints_changed(self, now: float, event: EndpointsChanged) -> list[Action]:
@@ -157,7 +161,7 @@
         state.requests[event.request_id] = request
         if request.load is not None:
             self.accounting.sample_load(now, request.load)
-        state.session_groups.record(event.session_group)
+        state.session_groups.record_request(event.session_group)
         reason = self.admission.reject_reason(request)
         if reason is not None:
             return self._give_up(request, reason)
@@ -253,7 +257,7 @@
         request.attempts = 1
         request.server = server
         request.is_established = True
-        self.state.session_groups.record(event.request.session_group)
+        self.state.session_groups.record_request(event.request.session_group)
         self.accounting.charge(server, request)
         return []
 
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -43,13 +43,13 @@
         server.latency_reported_at = now
         server.slow_until = now + mark_seconds if is_slow else now
         if is_slow != was_slow:
-            self._rotation.place(now, server)
+            self._rotation.update_server(now, server)
         self._passive_measurement.count(server, accepted=not is_slow)
         return is_slow
 
     def clear_silent(self, now: float) -> None:
         """End the mark of servers whose connections have stopped reporting."""
-        for server in self._rotation.unsettled.values():
+        for server in self._rotation.time_dependent_servers.values():
             if server.connections and now > server.latency_reported_at + SLOW_SECONDS:
                 server.slow_until = min(server.slow_until, now)
 
--- a/aspensaddle/core/load_accounting.py
+++ b/aspensaddle/core/load_accounting.py
@@ -13,7 +13,7 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 MAX_LOAD_SAMPLES = 100  # the mean is one over so many connections and follows a change of traffic
-MIN_MEAN_LOAD_RATIO = 0.8  # to the mean load at the last layout, or its inverse, before the rotation is rebuilt
+MIN_MEAN_LOAD_RATIO = 0.8  # to the mean load at the last rebuild, or its inverse, before the rotation is rebuilt
 
 
 class LoadAccounting:
@@ -50,12 +50,12 @@
         """Weigh a server anew, after its connections, a report or the mean load changed."""
         before = server.load
         server.load = self.weigh(server)
-        if server.id in self._state.servers:  # the total of the last layout has no other
+        if server.id in self._state.servers:  # the total of the last rebuild has no other
             self._state.total_load += server.load - before
         if server.share:
             for pool in self._state.pools_of(server):
                 pool.load += (server.load - before) * server.is_available
-            self._rotation.queue(server)
+            self._rotation.enqueue(server)
 
     def weigh(self, server: Server) -> float:
         """Update this balancer's load of a server; return its load, by its reports that of all balancers."""
@@ -78,9 +78,9 @@
         state = self._state
         state.load_samples = min(state.load_samples + 1, MAX_LOAD_SAMPLES)
         state.mean_load += (load - state.mean_load) / state.load_samples
-        at_layout = self._rotation.mean_load_at_layout
-        if not MIN_MEAN_LOAD_RATIO * at_layout <= state.mean_load <= at_layout / MIN_MEAN_LOAD_RATIO:
-            self._rotation.lay_out(now, self.weigh)
+        at_rebuild = self._rotation.mean_load_at_rebuild
+        if not MIN_MEAN_LOAD_RATIO * at_rebuild <= state.mean_load <= at_rebuild / MIN_MEAN_LOAD_RATIO:
+            self._rotation.rebuild(now, self.weigh)
 
     def smooth_typical_load(self) -> None:
         """Follow the load per ready server, once a tick."""
--- a/aspensaddle/core/membership.py
+++ b/aspensaddle/core/membership.py
@@ -49,8 +49,8 @@
         self._point_requests_to_returned()
         if changed:
             self._reset(now, changed)
-        self._rotation.needs_layout = True
-        self._state.session_groups.clear()
+        self._rotation.needs_rebuild = True
+        self._state.session_groups.clear_ring()
         return bool(changed)
 
     def _remove_unlisted(self, event: EndpointsChanged) -> list[Server]:
@@ -73,7 +73,7 @@
         self._state.servers[endpoint.server] = server
         departed = self._departed.get(endpoint.server)
         if departed is not None:
-            server.take_requests_from(departed)
+            server.inherit_requests(departed)
         return server
 
     def _point_requests_to_returned(self) -> None:
@@ -111,4 +111,4 @@
             server.drops_connections = False
         self._rotation.rescale_ratios()
         for server in changed:
-            self._rotation.place(now, server)
+            self._rotation.update_server(now, server)
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -36,8 +36,8 @@
         fleet_load = state.fleet_pool.load_per_share()
         if not 0 < fleet_load < float("inf"):
             return []
-        server = max(loaded, key=lambda server: server.next_turn)
-        excess = server.next_turn / (REBALANCE_MIN_LOAD_RATIO * fleet_load) - 1
+        server = max(loaded, key=lambda server: server.normalized_load)
+        excess = server.normalized_load / (REBALANCE_MIN_LOAD_RATIO * fleet_load) - 1
         return self._migrate_fraction(server, REBALANCE_FRACTION * min(1.0, excess))
 
     def _is_loaded(self, server: Server) -> bool:
--- a/aspensaddle/core/outlier_ejection.py
+++ b/aspensaddle/core/outlier_ejection.py
@@ -36,7 +36,7 @@
         """Keep a half-open server from further attempts until this one is accepted or its time is over."""
         if server.ejected_until:
             server.ejected_until = max(server.ejected_until, now + time_left)
-            self._rotation.place(now, server)
+            self._rotation.update_server(now, server)
 
     def attempt_accepted(self, now: float, server: Server) -> None:
         """Readmit a server that accepted; one that drops connections only once this one has held."""
@@ -47,7 +47,7 @@
         else:
             server.consecutive_failures = 0
             server.ejected_until = 0.0
-        self._rotation.place(now, server)
+        self._rotation.update_server(now, server)
 
     def attempt_failed(self, now: float, request: RequestState, server: Server, outcome: Outcome) -> None:
         """Take a failed attempt or a lost connection into account.
@@ -72,7 +72,7 @@
         doublings = min(server.consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
         ejection = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2**doublings)
         server.ejected_until = now + ejection * self._state.random.uniform(*EJECTION_JITTER)
-        self._rotation.place(now, server)
+        self._rotation.update_server(now, server)
 
     def readmit_holding(self, now: float) -> None:
         """Clear the servers whose connections hold again, once a tick."""
--- a/aspensaddle/core/passive_measurement.py
+++ b/aspensaddle/core/passive_measurement.py
@@ -50,11 +50,11 @@
         _, failures = rejection_rank(worst)
         if not failures:
             return
-        cut = CUT_FRACTION * (worst.ratio + self._rotation.raised)
+        cut = CUT_FRACTION * (worst.ratio + self._rotation.pending_ratio_increase)
         each = cut / (ready_count - 1)
-        worst.ratio -= cut + each  # what is raised below counts for all, for this one too
-        self._rotation.raised += each
-        self._rotation.place(now, worst)
+        worst.ratio -= cut + each  # the increase below applies to all servers, this one included
+        self._rotation.pending_ratio_increase += each
+        self._rotation.update_server(now, worst)
 
     def advance_slot(self) -> None:
         """Open the next slot, dropping what it counted a window ago."""
--- a/aspensaddle/core/server_pool.py
+++ b/aspensaddle/core/server_pool.py
@@ -7,42 +7,49 @@
 from aspensaddle.core.hash_ring import HashRing
 from aspensaddle.core.server_state import Server
 
-TurnHeap: TypeAlias = list[tuple[float, int, Server]]
+RotationHeap: TypeAlias = list[tuple[float, int, Server]]
 
 
 class ServerPool:
-    """Turns of the ready servers of a pool, and sums over those that are available. Records and sums only."""
+    """The rotation heap over the ready servers of a pool, and sums over those that are available.
+
+    It holds data for the rules and makes no decisions.
+    """
 
     def __init__(self) -> None:
         """Start without servers."""
-        self.turns: TurnHeap = []  # (next turn, server id, server); entries of older turns stay in it
-        self.ring = HashRing()  # of its servers, built when needed
-        self.slow_fraction = 0.0  # of the servers that this balancer holds connections on
+        # Entries of (normalized load, server id, server). Outdated entries are skipped when they are popped.
+        self.rotation_heap: RotationHeap = []
+        self.ring = HashRing()  # the pool's servers, added on first use
+        self.slow_fraction = 0.0  # the fraction of slow servers among those that hold connections of this balancer
         self.available_count = 0
         self.share = 0.0
         self.load = 0.0
 
     def reset(self) -> None:
-        """Forget turns and sums, before all servers are laid out anew."""
-        self.turns = []
+        """Clear the rotation heap and the sums, before the rotation is rebuilt."""
+        self.rotation_heap = []
         self.available_count = 0
         self.share = 0.0
         self.load = 0.0
 
     def add(self, server: Server) -> None:
-        """Count an available server in the sums."""
+        """Add an available server to the sums."""
         self.available_count += 1
         self.share += server.share
         self.load += server.load
 
     def remove(self, server: Server) -> None:
-        """Take an available server out of the sums; an empty pool has exact zeros."""
+        """Remove an available server from the sums; those of an empty pool are exactly 0."""
         self.available_count -= 1
         self.share = self.share - server.share if self.available_count else 0.0
         self.load = self.load - server.load if self.available_count else 0.0
 
     def load_per_share(self) -> float:
-        """Return the mean load per share, raised by what slow servers will pass on; infinity without any server."""
+        """Return the mean load per share, increased by the load that slow servers will shed to the others.
+
+        Return infinity if no server is available or all are slow.
+        """
         if not self.available_count or self.slow_fraction >= 1:
             return float("inf")
         return self.load / self.share / (1 - self.slow_fraction)
--- a/aspensaddle/core/server_selection.py
+++ b/aspensaddle/core/server_selection.py
@@ -1,11 +1,11 @@
-"""Server selection: asks the rules in order which server the next attempt of a request goes to.
+"""Server selection: applies the rules in order to choose the server of a request's next attempt.
 
 1. In the local zone, if that is preferred (`locality`): a preferred server of the session group or affinity key
-   (`affinity`), else the server whose turn it is (`weighted_rotation`).
-2. The same among all servers. Groups with preferred servers by the endpoint list begin here.
-3. By turn, slow servers too; then ejected servers and those that were tried.
+   (`affinity`), otherwise the next server in rotation (`weighted_rotation`).
+2. The same among all servers. Groups whose preferred servers follow from the endpoint list start with this step.
+3. The next server in rotation, slow ones included, then ejected servers and those that were tried.
 
-Every server has to pass `may_attempt`: endpoint confirmation, the retry policy, slow start and the utilization limit.
+Every server must pass `may_attempt`: endpoint confirmation, the retry policy, slow start and the utilization limit.
 """
 
 from __future__ import annotations
@@ -24,12 +24,14 @@
 from aspensaddle.core.slow_start import SlowStart
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
-MAX_GROUP_LOAD_RATIO = (
-    1.1  # to its pool's load per share, up to which a server may be loaded to keep a group together
-)
-MAX_KEY_LOAD_RATIO = 1.5  # the same, to be found again by an affinity key
-MAX_RING_STEPS = 16  # points of the ring that a group or key looks at
-RECONNECT_REJECT_FRACTION = 0.6  # of reconnecting clients, when their preferred server has reached its limit
+# The highest normalized load, relative to the pool's load per share, of a server that is chosen for a session group.
+MAX_GROUP_LOAD_RATIO = 1.1
+# The same limit for a server that is chosen for an affinity key.
+MAX_KEY_LOAD_RATIO = 1.5
+# The number of points on the hash ring that are examined for a session group or affinity key.
+MAX_RING_STEPS = 16
+# The fraction of reconnecting clients that are rejected when their preferred server has reached its slow start limit.
+RECONNECT_REJECT_FRACTION = 0.6
 RANDOM_KEY_BITS = 32
 
 
@@ -37,16 +39,16 @@
     """Chooses the server of an attempt."""
 
     def __init__(self, state: BalancerState, rotation: WeightedRotation, slow_start: SlowStart) -> None:
-        """Choose by `state`, with the given rotation and slow start."""
+        """Choose servers by `state`, the rotation and the slow start limit."""
         self._state = state
         self._rotation = rotation
         self._slow_start = slow_start
 
     def select(self, now: float, request: RequestState) -> Server | None:
-        """Return the server of the next attempt; without one, the request's `no_server_reason` tells why."""
-        pools = self._pools(request)
+        """Return the server of the next attempt, or None with the reason in the request's `no_server_reason`."""
+        pools = self._pools_to_search(request)
         for pool in pools:
-            server = self._preferred(now, pool, request)
+            server = self._preferred_server(now, pool, request)
             if server or request.no_server_reason is RejectReason.AFFINITY_SERVER_WARMING_UP:
                 return server
             server = self._rotation.next_server(now, pool, request, self.may_attempt, allow_slow=False)
@@ -63,7 +65,11 @@
         return None
 
     def may_attempt(self, now: float, request: RequestState, server: Server) -> bool:
-        """Return whether a server may be attempted: its state is known, no second effect, within its capacity."""
+        """Return whether the request may be attempted at a server.
+
+        The server's state must be confirmed, the attempt must not cause a second effect, and the slow start and
+        utilization limits must allow it.
+        """
         if not self._state.is_confirmed(now, server):
             request.no_server_reason = RejectReason.ENDPOINTS_UNCONFIRMED
             return False
@@ -75,67 +81,69 @@
         capacity = server.reported.capacity
         return not capacity or server.load <= request.utilization_limit * capacity
 
-    def _pools(self, request: RequestState) -> list[ServerPool]:
+    def _pools_to_search(self, request: RequestState) -> list[ServerPool]:
         state = self._state
         if not request.preferred_server_count and prefers_local_zone(state):
             return [state.local_pool, state.fleet_pool]
         return [state.fleet_pool]
 
-    def _preferred(self, now: float, pool: ServerPool, request: RequestState) -> Server | None:
+    def _preferred_server(self, now: float, pool: ServerPool, request: RequestState) -> Server | None:
         """Return a preferred server of the request's session group.
 
-        Where packets are passed on unread, affinity keys do the same: a connection mostly finds its server at any
-        balancer.
+        In pass-through mode, where packets are forwarded unread, affinity keys are used in the same way. Most
+        connections then reach the same server through any balancer.
         """
         group = request.request.session_group
         key = request.request.affinity_key if group is None and self._state.settings.pass_through else group
         if key is None or not pool.available_count:
             return None
         if request.preferred_server_count:
-            return self._preferred_by_list(now, key, request)
+            return self._preferred_by_endpoint_list(now, key, request)
         return self._preferred_within_load(now, pool, key, request)
 
-    def _preferred_by_list(self, now: float, key: int, request: RequestState) -> Server | None:
-        """Return a server of those that the list alone gives the group, the same at all balancers."""
+    def _preferred_by_endpoint_list(self, now: float, key: int, request: RequestState) -> Server | None:
+        """Return a server in the group's order of preference by the endpoint list, which all balancers share."""
         state = self._state
-        walk = (
+        candidates = (
             server
             for server in state.session_groups.preferred_servers(key, state.servers.values())
             if server.avoided_until <= now and server.id not in request.tried_servers
         )
-        preferred = sorted(islice(walk, request.preferred_server_count), key=lambda server: server.next_turn)
-        if state.shortage.missing:  # while servers come and go, a client finds its server again
+        preferred = sorted(
+            islice(candidates, request.preferred_server_count), key=lambda server: server.normalized_load
+        )
+        if state.shortage.missing:  # each client keeps its preferred server while servers join and leave
             client = request.request.affinity_key or state.random.getrandbits(RANDOM_KEY_BITS)
             preferred = rendezvous_order(client, preferred)
-        if self._is_rejected_until_warm(now, request, preferred):
+        if self._is_rejected_until_warmed_up(now, request, preferred):
             request.no_server_reason = RejectReason.AFFINITY_SERVER_WARMING_UP
             return None
-        for server in chain(preferred, walk):
+        for server in chain(preferred, candidates):
             if server.is_available and self.may_attempt(now, request, server):
                 return server
         return None
 
-    def _is_rejected_until_warm(self, now: float, request: RequestState, preferred: list[Server]) -> bool:
-        """Return whether a reconnecting client is rejected, to retry when its server has warmed up further.
+    def _is_rejected_until_warmed_up(self, now: float, request: RequestState, preferred: list[Server]) -> bool:
+        """Return whether to reject a reconnecting client, so that it retries when its server has warmed up further.
 
-        What this server cannot take yet would overload the group's other servers.
+        Otherwise the load above this server's slow start limit would overload the group's other servers.
         """
         if not request.request.reconnecting or request.attempts:
             return False
-        drawn = self._state.random.random() < RECONNECT_REJECT_FRACTION
-        if not drawn or not preferred or not preferred[0].is_available:
+        is_drawn = self._state.random.random() < RECONNECT_REJECT_FRACTION
+        if not is_drawn or not preferred or not preferred[0].is_available:
             return False
         return self._slow_start.holds_back(now, request, preferred[0])
 
     def _preferred_within_load(self, now: float, pool: ServerPool, key: int, request: RequestState) -> Server | None:
-        """Return the first server on the ring that is not loaded much above its pool."""
+        """Return the first server on the ring whose load is not far above the mean of its pool."""
         max_ratio = MAX_KEY_LOAD_RATIO if request.request.session_group is None else MAX_GROUP_LOAD_RATIO
         limit = max_ratio * pool.load_per_share()
         if not pool.ring:
-            servers = {server.id: server for _, _, server in pool.turns}
+            servers = {server.id: server for _, _, server in pool.rotation_heap}
             pool.ring = HashRing(servers.values())
         for server in pool.ring.walk(key, MAX_RING_STEPS):
-            if not server.is_available or server.next_turn > limit or server.id in request.tried_servers:
+            if not server.is_available or server.normalized_load > limit or server.id in request.tried_servers:
                 continue
             if self.may_attempt(now, request, server):
                 return server
--- a/aspensaddle/core/slow_start.py
+++ b/aspensaddle/core/slow_start.py
@@ -63,11 +63,11 @@
         state = self._state
         group = request.request.session_group
         if request.preferred_server_count:
-            of_group = state.session_groups.share(group, PRIOR_REQUESTS_OF_OTHER_GROUPS)
+            of_group = state.session_groups.request_share(group, PRIOR_REQUESTS_OF_OTHER_GROUPS)
             return of_group / request.preferred_server_count + 1 / max(1, state.ready_count)
         candidates = state.ready_count / max(1, state.ready_count - len(state.requests))
         even = min(candidates / max(1, state.ready_count), 1 / max(1, state.warming_up_count))
-        return POPULARITY_FACTOR * max(even, state.session_groups.share(group, 0))
+        return POPULARITY_FACTOR * max(even, state.session_groups.request_share(group, 0))
 
     def _min_attempt_interval(self, request: RequestState, allowed: float) -> float:
         """Return the seconds between two attempts of this balancer at one server that is warming up."""
--- a/aspensaddle/core/weighted_rotation.py
+++ b/aspensaddle/core/weighted_rotation.py
@@ -1,7 +1,7 @@
-"""Smooth weighted round robin over the servers, by load in place of requests.
+"""Smooth weighted round robin over the servers, which counts load instead of requests.
 
-A server's turn comes at the load per share that it carries. Ratios are set by passive measurement; a server's share
-is its ratio by listed size and warm-up.
+The next server is the one with the lowest normalized load, which is its load per share. A server's share is its
+ratio, set by passive measurement, times its listed size and its warm-up.
 """
 
 from __future__ import annotations
@@ -20,36 +20,38 @@
 MayAttempt = Callable[[float, RequestState, Server], bool]
 
 
-def is_unmarked(now: float, server: Server) -> bool:
+def is_neither_ejected_nor_slow(now: float, server: Server) -> bool:
     """Return whether a server is neither ejected nor marked as slow."""
     return server.ejected_until <= now and server.slow_until <= now
 
 
 class WeightedRotation:
-    """Keeps shares, turns and the sums of the pools, and finds the server whose turn it is.
+    """Keeps the shares of servers, the rotation heaps and sums of the pools, and finds the next server in rotation.
 
-    `raised` is what every ratio has gained since the last layout, added lazily. `unsettled` are the servers that time
-    alone changes: ejected, slow or warming up.
+    `pending_ratio_increase` is what every ratio has gained since the last rebuild; the next one adds it to them.
+    `time_dependent_servers` are those whose share or availability changes with time alone: servers that are ejected,
+    slow or warming up.
     """
 
     def __init__(self, state: BalancerState) -> None:
         """Start without servers."""
         self._state = state
-        self.raised = 0.0
-        self.needs_layout = True
-        self.mean_load_at_layout = 1.0
-        self.unsettled: dict[int, Server] = {}
+        self.pending_ratio_increase = 0.0
+        self.needs_rebuild = True
+        self.mean_load_at_rebuild = 1.0
+        self.time_dependent_servers: dict[int, Server] = {}
 
     def rescale_ratios(self) -> None:
-        """Let ready servers without a ratio enter at the mean one, and scale the stored ratios to a sum of 1.
+        """Give ready servers without a ratio the mean ratio, and scale the stored ratios to a sum of 1.
 
-        Also counts the ready servers and drops the pools' hash rings. `raised` is added at the next layout.
+        Also counts the ready servers and discards the pools' hash rings. The next rebuild adds
+        `pending_ratio_increase`.
         """
         state = self._state
         ready = [server for server in state.servers.values() if server.is_ready]
-        known = [server.ratio for server in ready if server.ratio]
+        known_ratios = [server.ratio for server in ready if server.ratio]
         for server in ready:
-            server.ratio = server.ratio or (sum(known) / len(known) if known else 1.0)
+            server.ratio = server.ratio or (sum(known_ratios) / len(known_ratios) if known_ratios else 1.0)
         state.ready_count = len(ready)
         total = sum(server.ratio for server in ready)
         for server in ready:
@@ -57,73 +59,78 @@
         state.local_pool.ring = HashRing()
         state.fleet_pool.ring = HashRing()
 
-    def lay_out(self, now: float, weigh: Callable[[Server], float]) -> None:
-        """Rebuild the rotation: place all servers anew, with their load as `weigh` returns it."""
+    def rebuild(self, now: float, load_of: Callable[[Server], float]) -> None:
+        """Rebuild the rotation and the sums of the pools, with the load of each server as `load_of` returns it."""
         state = self._state
-        raised = self.raised
-        self.raised = 0.0
-        self.needs_layout = False
-        self.mean_load_at_layout = state.mean_load
+        pending_ratio_increase = self.pending_ratio_increase
+        self.pending_ratio_increase = 0.0
+        self.needs_rebuild = False
+        self.mean_load_at_rebuild = state.mean_load
         state.total_load = 0.0
         state.local_pool.reset()
         state.fleet_pool.reset()
         for server in state.servers.values():
-            server.ratio += raised
-            server.load = weigh(server)
+            server.ratio += pending_ratio_increase
+            server.load = load_of(server)
             server.is_available = False
             state.total_load += server.load
-            self.place(now, server)
+            self.update_server(now, server)
 
-    def place(self, now: float, server: Server) -> None:
-        """Give a server its share, its turn and its part in the sums of its pools as they are now."""
+    def update_server(self, now: float, server: Server) -> None:
+        """Update the share and availability of a server, the sums of its pools and its rotation entry."""
         pools = self._state.pools_of(server)
         if server.is_available:
             for pool in pools:
                 pool.remove(server)
-        warmth = self._update_share(now, server)
-        server.is_available = server.share > 0 and is_unmarked(now, server)
+        warm_up_fraction = self._update_share(now, server)
+        server.is_available = server.share > 0 and is_neither_ejected_nor_slow(now, server)
         if server.is_available:
             for pool in pools:
                 pool.add(server)
-        self.unsettled.pop(server.id, None)
-        if server.is_ready and (warmth < 1.0 or not server.is_available):
-            self.unsettled[server.id] = server
+        self.time_dependent_servers.pop(server.id, None)
+        if server.is_ready and (warm_up_fraction < 1.0 or not server.is_available):
+            self.time_dependent_servers[server.id] = server
         if server.share:
-            self.queue(server)
+            self.enqueue(server)
 
     def _update_share(self, now: float, server: Server) -> float:
-        """Set the share; return the capacity fraction that it was reduced by."""
+        """Set the share of a server; return the warm-up fraction that it was multiplied by."""
         state = self._state
-        warmth = state.capacity_fraction(now, server)
-        # Live weights are 1 / (1 + load): squared, so that slow machine types settle at a lower load.
+        warm_up_fraction = state.capacity_fraction(now, server)
+        # Live weights are 1 / (1 + load). They are squared so that slow machine types settle at a lower load.
         weight = max(0.0, server.weight) ** (LIVE_WEIGHT_EXPONENT if state.settings.live_weights else 1)
-        if state.uses_load_reports:  # a reported capacity is what the server can do now, warm or not
-            weight = server.reported.capacity or (state.reported_capacity or 1.0) * warmth
-            warmth = 1.0
-        server.share = (server.ratio + self.raised) * weight * warmth if server.is_ready else 0.0
-        return warmth
-
-    def refresh_unsettled(self, now: float, *, by_warm_up: bool) -> None:
-        """Place servers again whose availability has changed with time, and with `by_warm_up` all that warm up."""
-        for server in list(self.unsettled.values()):
-            if by_warm_up or server.is_available != is_unmarked(now, server):
-                self.place(now, server)
-
-    def queue(self, server: Server) -> None:
-        """Queue a server's next turn, which is its load per share too. Its earlier entries become void."""
+        if state.uses_load_reports:  # a reported capacity already includes the effect of warm-up
+            weight = server.reported.capacity or (state.reported_capacity or 1.0) * warm_up_fraction
+            warm_up_fraction = 1.0
+        server.share = (
+            (server.ratio + self.pending_ratio_increase) * weight * warm_up_fraction if server.is_ready else 0.0
+        )
+        return warm_up_fraction
+
+    def refresh_time_dependent_servers(self, now: float, *, include_warming_up: bool) -> None:
+        """Update the servers whose availability has changed with time.
+
+        With `include_warming_up`, update all time-dependent servers, so that shares follow the warm-up.
+        """
+        for server in list(self.time_dependent_servers.values()):
+            if include_warming_up or server.is_available != is_neither_ejected_nor_slow(now, server):
+                self.update_server(now, server)
+
+    def enqueue(self, server: Server) -> None:
+        """Compute a server's normalized load and push it on the rotation heaps. Earlier entries become outdated."""
         state = self._state
-        server.next_turn = (server.load + server.rotation_offset * state.mean_load) / server.share
+        server.normalized_load = (server.load + server.rotation_offset * state.mean_load) / server.share
         for pool in state.pools_of(server):
-            heappush(pool.turns, (server.next_turn, server.id, server))
+            heappush(pool.rotation_heap, (server.normalized_load, server.id, server))
 
     def next_server(
         self, now: float, pool: ServerPool, request: RequestState, may_attempt: MayAttempt, *, allow_slow: bool
     ) -> Server | None:
-        """Return the first server in turn that may be attempted and was not tried.
+        """Return the first server in rotation that is available, was not tried and may be attempted.
 
-        With `allow_slow` slow servers are considered too.
+        With `allow_slow`, slow servers are considered too.
         """
-        return self._first_in_turn(
+        return self._first_eligible(
             pool,
             lambda server: (
                 (server.is_available or (allow_slow and server.ejected_until <= now))
@@ -135,20 +142,20 @@
     def any_server(
         self, now: float, pool: ServerPool, request: RequestState, may_attempt: MayAttempt
     ) -> Server | None:
-        """Return the first server in turn that may be attempted, even if it is ejected or was tried."""
-        return self._first_in_turn(pool, lambda server: may_attempt(now, request, server))
+        """Return the first server in rotation that may be attempted, even if it is ejected or was tried."""
+        return self._first_eligible(pool, lambda server: may_attempt(now, request, server))
 
-    def _first_in_turn(self, pool: ServerPool, accepts: Callable[[Server], bool]) -> Server | None:
-        turns = pool.turns
-        passed = []
+    def _first_eligible(self, pool: ServerPool, is_eligible: Callable[[Server], bool]) -> Server | None:
+        rotation_heap = pool.rotation_heap
+        popped_entries = []
         chosen = None
-        while turns and chosen is None:
-            entry = heappop(turns)
-            turn, _, server = entry
-            if turn == server.next_turn and server.is_ready:  # else an older turn of this server
-                passed.append(entry)
-                if accepts(server):
+        while rotation_heap and chosen is None:
+            entry = heappop(rotation_heap)
+            queued_load, _, server = entry
+            if queued_load == server.normalized_load and server.is_ready:  # otherwise an outdated entry
+                popped_entries.append(entry)
+                if is_eligible(server):
                     chosen = server
-        for entry in passed:
-            heappush(turns, entry)
+        for entry in popped_entries:
+            heappush(rotation_heap, entry)
         return chosen
--- a/tests/test_passive_measurement.py
+++ b/tests/test_passive_measurement.py
@@ -11,7 +11,11 @@
 
 
 def ratios(harness: BalancerHarness) -> dict[int, float]:
-    return {s.id: s.ratio + harness.balancer.rotation.raised for s in harness.balancer.servers.values() if s.is_ready}
+    return {
+        s.id: s.ratio + harness.balancer.rotation.pending_ratio_increase
+        for s in harness.balancer.servers.values()
+        if s.is_ready
+    }
 
 
 def count_failure(harness: BalancerHarness, server: int, outcome: Outcome = Outcome.REJECTED) -> None:
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -38,9 +38,9 @@
     pool = ServerPool()
     server = server_with(1, 0.5, 1.0)
     pool.add(server)
-    pool.turns.append((0.0, server.id, server))
+    pool.rotation_heap.append((0.0, server.id, server))
     pool.reset()
-    assert (pool.turns, pool.available_count, pool.share, pool.load) == ([], 0, 0.0, 0.0)
+    assert (pool.rotation_heap, pool.available_count, pool.share, pool.load) == ([], 0, 0.0, 0.0)
 
 
 def test_load_per_share_is_the_mean_of_the_servers_that_are_not_slow():
