--- a/aspensaddle/core/load_accounting.py
+++ b/aspensaddle/core/load_accounting.py
@@ -73,7 +73,7 @@
     def sample_load(self, now: float, load: float) -> None:
         """Take the load of a connection into the mean.
 
-        Turns computed with a mean that has drifted make servers without known loads look loaded.
+        Normalized loads computed with a mean that has drifted make servers without known loads look loaded.
         """
         state = self._state
         state.load_samples = min(state.load_samples + 1, MAX_LOAD_SAMPLES)
--- a/aspensaddle/core/machine_types.py
+++ b/aspensaddle/core/machine_types.py
@@ -54,7 +54,7 @@
         raise DecodeError(f"group_cost must be 0 to {MAX_GROUP_COST:g}, not {cost:g}")
     table = obj(message, "speed", {})
     if len(table) > MAX_MACHINE_TYPES:
-        raise DecodeError(f"speed has over {MAX_MACHINE_TYPES} machine types")
+        raise DecodeError(f"speed has more than {MAX_MACHINE_TYPES} machine types")
     return MachineTypes(cost, {name: _parse_speed(table, name) for name in table})
 
 
--- a/aspensaddle/core/server_state.py
+++ b/aspensaddle/core/server_state.py
@@ -27,7 +27,7 @@
         self.rotation_offset = rotation_offset
         self.ratio = 0.0  # fraction of new connections, without `WeightedRotation.pending_ratio_increase`
         self.share = 0.0  # the ratio times weight and warm-up
-        self.normalized_load = 0.0  # load per share; the lowest in a pool is the next in rotation
+        self.normalized_load = 0.0  # load and rotation offset per share; the lowest in a pool is next in rotation
         self.is_available = False  # whether the sums of its pools include it
         self.ring_points = [(hash((self.id, point)), self.id, self) for point in range(RING_POINTS_PER_SERVER)]
         # Passive measurement and failures.
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: the servers of session groups and affinity keys."""
+"""Affinity: which servers session groups and affinity keys are placed on."""
 
 from __future__ import annotations
 
@@ -23,170 +23,196 @@
 from aspensaddle.core.server_state import Server
 
 
-def server_records(entries: list[Endpoint], phase: float = 0.0) -> list[Server]:
-    found = [Server(e, phase) for e in entries]
-    for s, e in zip(found, entries, strict=True):
-        s.update(e, ())
-    return found
+def server_records(entries: list[Endpoint], rotation_offset: float = 0.0) -> list[Server]:
+    servers = [Server(endpoint, rotation_offset) for endpoint in entries]
+    for server, endpoint in zip(servers, entries, strict=True):
+        server.update(endpoint, ())
+    return servers
 
 
-def preferred_order(group: int, some: list[Server]) -> list[Server]:
-    return list(SessionGroups().preferred_servers(group, some))
+def preferred_order(group: int, servers: list[Server]) -> list[Server]:
+    return list(SessionGroups().preferred_servers(group, servers))
 
 
-def test_session_group_stays_on_few_servers_and_balancers_agree_on_them():
-    homes = set()
+def test_session_group_is_placed_on_the_same_few_servers_by_all_balancers():
+    servers = set()
     for seed in range(5):
         harness = BalancerHarness(20, seed=seed)
-        for n in range(60):
-            harness.place(session_group=n)
-        homes.add(harness.place(session_group=7777).server)
-    assert len(homes) <= 2
+        for group in range(60):
+            harness.place(session_group=group)
+        servers.add(harness.place(session_group=7777).server)
+    assert len(servers) <= 2
 
 
-def test_hot_session_group_spills_over_before_its_server_is_overloaded():
+def test_large_session_group_is_spread_before_its_preferred_server_is_overloaded():
     harness = BalancerHarness(10)
     placed = [harness.place(session_group=5).server for _ in range(100)]
-    assert max(placed.count(s) for s in range(1, 11)) <= 15  # GROUP_EXCESS times the mean of 10
+    # The mean is 10 connections per server; MAX_GROUP_LOAD_RATIO allows a group somewhat more on one server.
+    assert max(placed.count(number) for number in range(1, 11)) <= 15
 
 
 def test_affinity_key_maps_to_the_same_server_at_any_balancer_in_pass_through():
     settings = replace(SETTINGS, pass_through=True)
-    found = 0
+    same_server_count = 0
     for key in range(40):
         first, second = BalancerHarness(8, settings=settings, seed=1), BalancerHarness(8, settings=settings, seed=2)
         for n in range(16):
             first.place(affinity_key=1000 + n)
             second.place(affinity_key=2000 + n)
-        found += first.place(affinity_key=key).server == second.place(affinity_key=key).server
-    assert found >= 20  # by chance it would be 5
+        same_server_count += first.place(affinity_key=key).server == second.place(affinity_key=key).server
+    assert same_server_count >= 20  # random placement would give 5
 
 
-def test_many_balancers_keep_session_groups_on_few_servers_without_coordination():
-    """A server pays three mean loads for each group that it holds any of. If each of many balancers placed by its
-    own load alone, nearly every connection would add that cost."""
+def test_many_balancers_place_each_session_group_on_few_servers_without_coordination():
+    """Each session group that has connections on a server costs that server three mean connection loads.
+
+    If each of many balancers placed connections by its own load alone, nearly every connection would add that cost.
+    """
     draw, groups = Random(1), range(30)
-    sizes = [1 / (g + 1) for g in groups]
+    sizes = [1 / (rank + 1) for rank in groups]
     harnesses = [
         BalancerHarness(LARGE_SERVER_COUNT, SESSION_GROUP_SETTINGS, seed=n) for n in range(HUNDREDS_OF_BALANCERS)
     ]
-    there = Counter[tuple[int, int]]()
+    connections_by_pair = Counter[tuple[int, int]]()  # by session group and server
     for _ in range(5):
         for harness in harnesses:
             group = draw.choices(groups, sizes)[0]
-            there[group, harness.place(load_hint=LOAD, session_group=group).server] += 1
-    held = Counter[int]()
-    for (_, server), n in there.items():
-        held[server] += n
-    assert len(there) <= 4 * LARGE_SERVER_COUNT  # 478 where each scatters them
-    assert max(held.values()) <= 5 * HUNDREDS_OF_BALANCERS * 5 / LARGE_SERVER_COUNT
+            connections_by_pair[group, harness.place(load_hint=LOAD, session_group=group).server] += 1
+    connections_by_server = Counter[int]()
+    for (_, server), n in connections_by_pair.items():
+        connections_by_server[server] += n
+    assert len(connections_by_pair) <= 4 * LARGE_SERVER_COUNT  # 478 if each balancer places by its own load alone
+    assert max(connections_by_server.values()) <= 5 * HUNDREDS_OF_BALANCERS * 5 / LARGE_SERVER_COUNT
 
 
-def test_preferred_order_is_the_same_everywhere_and_a_leaving_server_moves_only_its_own_groups():
-    whole, draw = server_records(large_fleet(40)), Random(1)
-    moved = 0
+def test_preferred_order_is_the_same_at_all_balancers_and_a_leaving_server_affects_only_its_own_groups():
+    servers, draw = server_records(large_fleet(40)), Random(1)
+    affected_groups = 0
     for group in range(60):
-        order = [s.id for s in preferred_order(group, whole)]
+        order = [server.id for server in preferred_order(group, servers)]
         assert sorted(order) == list(range(40))
-        assert order == [s.id for s in preferred_order(group, draw.sample(server_records(large_fleet(40), 0.7), 40))]
-        left = [s.id for s in preferred_order(group, whole[1:])]
-        assert left == [n for n in order if n != 0]
-        moved += order[0] == 0
+        assert order == [
+            server.id for server in preferred_order(group, draw.sample(server_records(large_fleet(40), 0.7), 40))
+        ]
+        order_without_0 = [server.id for server in preferred_order(group, servers[1:])]
+        assert order_without_0 == [n for n in order if n != 0]
+        affected_groups += order[0] == 0
         client = draw.getrandbits(60)
-        first = rendezvous_order(client, [whole[n] for n in order[:4]])[0]
-        assert rendezvous_order(client, [whole[n] for n in order[:4] if n == first.id or n % 2])[0] is first
-    assert moved <= 6  # a fortieth
+        first = rendezvous_order(client, [servers[n] for n in order[:4]])[0]
+        assert rendezvous_order(client, [servers[n] for n in order[:4] if n == first.id or n % 2])[0] is first
+    assert affected_groups <= 6  # the mean is a fortieth of the 60 groups
 
 
-def test_clients_of_a_group_follow_the_server_weight_and_skip_servers_that_are_not_ready():
+def test_clients_of_a_group_are_spread_by_weight_over_ready_servers_with_a_weight():
     entries = [
         *large_fleet(20),
         *(entry(n, weight=4.0) for n in range(20, 30)),
         entry(30, weight=0.0),
         entry(31, weight=2.0, state=ServerState.DRAINING),
     ]
-    homes = preferred_order(5, server_records(entries))
-    first = Counter(rendezvous_order(client, homes)[0].id for client in range(3000))
-    large = sum(first[n] for n in range(20, 30))
-    assert 0.45 <= large / 3000 <= 0.55 and len(homes) == 30 and not first[30] and not first[31]
-    heads = Counter(preferred_order(group, server_records(entries))[0].id for group in range(3000))
-    assert min(heads[n] for n in range(30)) >= 20 and not heads[30]  # groups themselves stand everywhere
+    preferred = preferred_order(5, server_records(entries))
+    clients_by_server = Counter(rendezvous_order(client, preferred)[0].id for client in range(3000))
+    on_large_servers = sum(clients_by_server[n] for n in range(20, 30))
+    assert (
+        0.45 <= on_large_servers / 3000 <= 0.55
+        and len(preferred) == 30
+        and not clients_by_server[30]
+        and not clients_by_server[31]
+    )
+    groups_by_server = Counter(preferred_order(group, server_records(entries))[0].id for group in range(3000))
+    # The groups themselves are spread over all servers with a weight.
+    assert min(groups_by_server[n] for n in range(30)) >= 20 and not groups_by_server[30]
+
 
+def test_restarted_balancers_place_groups_on_the_same_servers_and_keep_most_pairs_after_half_the_fleet_is_replaced():
+    """200 balancers restart twice, the second time after half of the servers were replaced.
 
-def test_restarted_balancers_find_the_same_servers_after_half_of_them_are_replaced():
-    """With 200 balancers, the pairs of group and server stay near those before the restart."""
+    The pairs of session group and server must stay near those before each restart.
+    """
     draw, groups, clients = Random(1), range(30), range(600)
-    group = dict(zip(clients, draw.choices(groups, [1 / (g + 2) for g in groups], k=600), strict=True))
+    group_of = dict(zip(clients, draw.choices(groups, [1 / (group + 2) for group in groups], k=600), strict=True))
     entries = large_fleet(60)
 
-    def placed(harnesses: list[BalancerHarness]) -> set[tuple[int, int]]:
-        there = set()
-        for c in clients:
+    def place_all_clients(harnesses: list[BalancerHarness]) -> set[tuple[int, int]]:
+        """Return the pairs of session group and server that result."""
+        pairs = set()
+        for client in clients:
             harness = draw.choice(harnesses)
-            send = harness.place(affinity_key=10_000 + c, session_group=group[c], load_hint=0.05)
-            there.add((group[c], send.server))
-        return there
+            attempt = harness.place(affinity_key=10_000 + client, session_group=group_of[client], load_hint=0.05)
+            pairs.add((group_of[client], attempt.server))
+        return pairs
 
     harnesses = [BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=n) for n in range(200)]
-    before = placed(harnesses)
-    again = placed([BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=1000 + n) for n in range(200)])
-    assert len(before) <= 150 and len(before | again) <= 1.5 * len(before)
-    warm = [e for e in entries if e.server % 2] + [entry(100 + n, weight=2.0, started_at=900.0) for n in range(30)]
-    later = placed([BalancerHarness(warm, SESSION_GROUP_SETTINGS, seed=2000 + n) for n in range(200)])
-    kept = {p for p in again if p[1] % 2}
-    assert len(later) <= 150 and len(kept & later) >= 0.6 * len(kept)
+    before = place_all_clients(harnesses)
+    restarted = place_all_clients(
+        [BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=1000 + n) for n in range(200)]
+    )
+    assert len(before) <= 150 and len(before | restarted) <= 1.5 * len(before)
+    half_replaced = [endpoint for endpoint in entries if endpoint.server % 2] + [
+        entry(100 + n, weight=2.0, started_at=900.0) for n in range(30)
+    ]
+    after_replacement = place_all_clients(
+        [BalancerHarness(half_replaced, SESSION_GROUP_SETTINGS, seed=2000 + n) for n in range(200)]
+    )
+    on_kept_servers = {pair for pair in restarted if pair[1] % 2}
+    assert len(after_replacement) <= 150 and len(on_kept_servers & after_replacement) >= 0.6 * len(on_kept_servers)
 
 
-def test_reconnecting_client_waits_while_its_preferred_server_warms_up():
-    """Otherwise the load that warming servers cannot take yet would overload the warm ones."""
+def test_reconnecting_client_is_rejected_while_its_preferred_server_warms_up():
+    """Otherwise the load that the servers warming up cannot bear yet would overload the warm ones."""
     entries = [entry(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
 
-    def answers(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
-        got = [
+    def ask_for_all_clients(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
+        actions = [
             harness.ask(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
             for n in range(1, 11)
             for _ in range(10)
             if not harness.balancer.requests.clear()
         ]
         assert all(
-            a.reason is RejectReason.AFFINITY_SERVER_WARMING_UP
-            and 0 < a.retry_after <= SETTINGS.limits.max_retry_after
-            for a in got
-            if isinstance(a, Reject)
+            action.reason is RejectReason.AFFINITY_SERVER_WARMING_UP
+            and 0 < action.retry_after <= SETTINGS.limits.max_retry_after
+            for action in actions
+            if isinstance(action, Reject)
         )
-        return got
+        return actions
 
     harness = BalancerHarness(entries, SESSION_GROUP_SETTINGS, now=1001.0)
-    assert 10 <= sum(isinstance(a, Reject) for a in answers(harness)) <= 60  # half of the homes, most of the time
-    assert not any(isinstance(a, Reject) for a in answers(harness, reconnecting=False))
+    # Half of the preferred servers are warming up, and most of their clients are rejected.
+    assert 10 <= sum(isinstance(action, Reject) for action in ask_for_all_clients(harness)) <= 60
+    assert not any(isinstance(action, Reject) for action in ask_for_all_clients(harness, reconnecting=False))
     assert not any(
-        isinstance(a, Reject)
-        for a in answers(BalancerHarness(entries, replace(SESSION_GROUP_SETTINGS, balancer_count=2), now=1001.0))
+        isinstance(action, Reject)
+        for action in ask_for_all_clients(
+            BalancerHarness(entries, replace(SESSION_GROUP_SETTINGS, balancer_count=2), now=1001.0)
+        )
     )
     harness.now += SETTINGS.rules.slow_start_duration
-    assert not any(isinstance(a, Reject) for a in answers(harness))
+    assert not any(isinstance(action, Reject) for action in ask_for_all_clients(harness))
 
 
-def test_single_client_groups_and_requests_without_a_key_are_placed():
+def test_groups_of_a_single_client_and_requests_without_an_affinity_key_are_placed():
     harness = BalancerHarness(large_fleet(60), SESSION_GROUP_SETTINGS)
     assert all(isinstance(harness.ask(session_group=n, load_hint=0.01)[0], StartAttempt) for n in range(300))
-    assert (
-        len({harness.ask(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
-    )  # without keys by chance
+    # Requests without an affinity key are not tied to one of the preferred servers.
+    assert len({harness.ask(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
 
 
 @pytest.mark.parametrize("load", [0.0, 0.05])
-def test_weights_and_loads_of_zero_leave_affinity_working(load):
-    """A preferred server of weight 0 and a slow start limit of 0 cause no division by zero."""
+def test_affinity_works_with_weights_and_loads_of_zero(load):
+    """A preferred server of weight 0 and a slow start limit of 0 must not cause a division by zero."""
     rules = replace(SETTINGS.rules, initial_capacity_fraction=0.0, overload_multiple=0.0)
     harness = BalancerHarness(large_fleet(20), replace(SESSION_GROUP_SETTINGS, rules=rules))
     for n in range(12):
         place_with_reported_load(harness, load)
         harness.update_endpoints(entry(n, weight=0.0), entry(19 - n % 4, weight=2.0, started_at=harness.now))
         harness.tick()
-        got = [
-            harness.ask(affinity_key=k, session_group=k % 7, load_hint=load, reconnecting=k % 2 == 0)[0]
-            for k in range(1, 30)
+        actions = [
+            harness.ask(affinity_key=key, session_group=key % 7, load_hint=load, reconnecting=key % 2 == 0)[0]
+            for key in range(1, 30)
         ]
-        assert not {a.server for a in got if isinstance(a, StartAttempt)} & set(range(n + 1)) and got
+        assert (
+            not {action.server for action in actions if isinstance(action, StartAttempt)} & set(range(n + 1))
+            and actions
+        )
         harness.balancer.requests.clear()
--- a/tests/test_load_accounting.py
+++ b/tests/test_load_accounting.py
@@ -18,7 +18,7 @@
 
 
 def test_first_reported_loads_do_not_make_servers_without_reports_look_loaded():
-    """The mean load is unknown at the start. Turns computed with the initial guess are not kept."""
+    """The mean load is unknown at the start. Normalized loads computed with the initial guess are not kept."""
     for seed in range(5):
         harness = BalancerHarness(4, seed=seed)
         for n in range(20):
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -14,7 +14,7 @@
 TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
 
 
-def test_local_zone_is_preferred_within_a_bound():
+def test_local_zone_is_preferred_while_its_load_is_within_the_limits():
     harness = BalancerHarness(TWO_ZONES, settings=replace(SETTINGS, zone_count=2))
     assert all(harness.place().server % 2 == 0 for _ in range(20))
 
@@ -22,21 +22,22 @@
 def test_small_local_zone_is_not_overloaded_by_its_own_clients():
     servers = [entry(0, zone=0)] + [entry(n, zone=1) for n in range(1, 10)]
     harness = BalancerHarness(servers, settings=replace(SETTINGS, zone_count=2))
-    here = sum(harness.place().server == 0 for _ in range(40))
-    assert 8 <= here <= 12  # 1.25 x 2 zones x a tenth of the share
+    local_connections = sum(harness.place().server == 0 for _ in range(40))
+    # The limit is MAX_LOCAL_LOAD_RATIO (1.25) x 2 zones x a tenth of the shares: 10 of 40 connections.
+    assert 8 <= local_connections <= 12
 
 
-def test_reconnecting_clients_of_a_lost_balancer_use_the_whole_fleet():
+def test_reconnecting_clients_of_a_failed_balancer_are_spread_over_the_whole_fleet():
     """They arrive together, and this balancer does not know how much capacity its local zone has left."""
     harness = BalancerHarness(TWO_ZONES, settings=replace(SETTINGS, zone_count=2))
-    servers = [harness.place(load_hint=0.05).server for _ in range(200)]  # 10 cores listed, 5 of them here
-    first = servers[:25]  # 1.25 of load for 5 cores
-    assert all(s % 2 == 0 for s in first[:20])
+    servers = [harness.place(load_hint=0.05).server for _ in range(200)]  # 10 listed cores, 5 in the local zone
+    first = servers[:25]  # a load of 1.25 for the 5 local cores
+    assert all(number % 2 == 0 for number in first[:20])
     per_server = [servers.count(n) for n in range(10)]
     assert max(per_server) - min(per_server) <= 4
 
 
-def test_local_zone_that_is_ejected_whole_is_left():
+def test_other_zone_is_used_while_all_servers_of_the_local_zone_are_ejected():
     harness = BalancerHarness(TWO_ZONES, settings=replace(SETTINGS, zone_count=2))
     for server in range(0, 10, 2):
         harness.balancer.servers[server].consecutive_failures, harness.balancer.servers[server].ejected_until = (
@@ -49,7 +50,7 @@
 
 @pytest.mark.parametrize(("count", "local"), [(2, True), (MANY_BALANCERS, False)])
 def test_local_zone_is_preferred_by_the_estimated_load_of_all_balancers(count, local):
-    """One of forty balancers sees a fortieth of the load of its zone."""
+    """Each of forty balancers sees only a fortieth of the load of its zone."""
     servers = [entry(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
     harness = BalancerHarness(servers, replace(MANY_BALANCERS_SETTINGS, balancer_count=count, zone_count=2, zone=0))
     zones = [harness.balancer.servers[harness.place(load_hint=LOAD).server].zone for _ in range(16)]
@@ -57,7 +58,7 @@
 
 
 def state_with_pools(local_load: float, fleet_load: float, balancer_count: int = 1) -> BalancerState:
-    """Ten ready servers of equal share with known loads, one of them in the local zone of two."""
+    """Return a state with two zones and ten ready servers of equal share, one of them in the local zone."""
     state = BalancerState(replace(SETTINGS, zone_count=2, balancer_count=balancer_count), seed=1)
     state.ready_count = 10
     state.load_samples = 100
@@ -66,7 +67,7 @@
     return state
 
 
-def test_local_zone_is_not_preferred_without_an_available_server_there():
+def test_local_zone_is_not_preferred_without_an_available_server():
     state = state_with_pools(local_load=0.0, fleet_load=1.0)
     assert prefers_local_zone(state)
     state.local_pool.available_count = 0
@@ -80,25 +81,25 @@
 
 
 @pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
-def test_local_zone_is_preferred_up_to_an_excess_over_the_load_of_the_fleet(factor, preferred):
-    fleet_load = 0.1  # per share; the local zone has a tenth of the shares
+def test_local_zone_is_preferred_up_to_a_multiple_of_the_load_per_share_of_the_fleet(factor, preferred):
+    fleet_load = 0.1  # per share; the local zone has a tenth of all shares
     local_load = factor * MAX_LOCAL_LOAD_RATIO * 2 * fleet_load / 10
     assert prefers_local_zone(state_with_pools(local_load, fleet_load)) is preferred
 
 
 @pytest.mark.parametrize(("factor", "preferred"), [(0.99, True), (1.01, False)])
 def test_local_zone_is_preferred_up_to_a_load_per_listed_core(factor, preferred):
-    local_load = factor * MAX_LOCAL_LOAD_PER_CORE  # of one core
+    local_load = factor * MAX_LOCAL_LOAD_PER_CORE  # the local zone has one core
     assert prefers_local_zone(state_with_pools(local_load, fleet_load=10.0)) is preferred
 
 
-def test_load_of_other_balancers_counts_where_there_are_many():
+def test_load_of_other_balancers_is_estimated_when_there_are_many():
     local_load = MAX_LOCAL_LOAD_PER_CORE / 2
     assert prefers_local_zone(state_with_pools(local_load, fleet_load=10.0, balancer_count=4))
     assert not prefers_local_zone(state_with_pools(local_load, fleet_load=10.0, balancer_count=6))
 
 
-def test_load_per_core_does_not_count_while_no_load_is_known():
+def test_limit_per_core_does_not_apply_while_no_connection_load_is_known():
     state = state_with_pools(local_load=2 * MAX_LOCAL_LOAD_PER_CORE, fleet_load=10.0)
     assert not prefers_local_zone(state)
     state.load_samples = 0
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The operator's file of machines, and that no name of a deployment decides anything."""
+"""Machine types: parsing of the operator's file, and decisions that are independent of names in a deployment."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_speeds_come_from_the_file_by_kind_and_are_one_where_it_names_none(tmp_path):
+def test_file_sets_speeds_and_group_cost_and_without_it_the_group_cost_is_the_default(tmp_path):
     file = tmp_path / "machines.toml"
     file.write_text('group_cost = 1.5\n[speed]\n"big one" = 2\n')
-    machines = load_machine_types({"ASPENSADDLE_MACHINES": str(file)})
-    assert machines.group_cost == 1.5 and machines.speeds == {"big one": 2.0}
+    machine_types = load_machine_types({"ASPENSADDLE_MACHINES": str(file)})
+    assert machine_types.group_cost == 1.5 and machine_types.speeds == {"big one": 2.0}
     assert load_machine_types({"ASPENSADDLE_MACHINES": str(tmp_path / "none.toml")}).group_cost == 3.0
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("group_cost = -1", "machines.toml:1: group_cost must be"),
         ("a = 1", "machines.toml:1: a is not a setting"),
@@ -37,15 +37,15 @@
         ("speed = 3", "machines.toml:1: speed"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_refused_with_file_line_and_field(tmp_path, text, says):
+def test_invalid_file_is_rejected_with_file_line_and_field(tmp_path, text, message):
     file = tmp_path / "machines.toml"
     file.write_text(text)
-    with pytest.raises(ConfigError, match=re.escape(says)):
+    with pytest.raises(ConfigError, match=re.escape(message)):
         load_machine_types({"ASPENSADDLE_MACHINES": str(file)})
 
 
 def decisions(settings: dict, tmp_path) -> list:
-    """What a balancer with these settings decides of a hundred requests, behind the simulator's wire."""
+    """Return the replies of a balancer with these settings to a hundred requests, through the simulator adapter."""
     host, draw, replies = Host(), random.Random(3), []
     events = [
         {"kind": "LAUNCH", "init-seed": 5, "options": settings},
@@ -75,37 +75,39 @@
     return replies
 
 
-def test_settings_with_other_names_give_the_same_decisions(tmp_path, monkeypatch):
+def test_decisions_do_not_depend_on_the_names_of_machine_types_zones_tenants_and_request_classes(
+    tmp_path, monkeypatch
+):
     monkeypatch.setenv("ASPENSADDLE_MACHINES", str(tmp_path / "none.toml"))
     named = {
         **SETTINGS,
         "host-types": ["fast-runner", "plain-runner"],
-        "tenants": [{"name": t} for t in ("taller-leon", "taller-puebla", "x")],
+        "tenants": [{"name": tenant} for tenant in ("taller-leon", "taller-puebla", "x")],
     }
     draw = random.Random(1)
 
-    def other(value):
+    def random_name(_):
         return "".join(draw.choices("bcdfghjklmnp", k=9))
 
     renamed = {
         **named,
-        "host-types": [other(0), other(1)],
-        "failure-domains": [other(0), other(1)],
-        "tenants": [{"name": other(t)} for t in range(3)],
-        "lanes": [{**lane, "name": other(lane)} for lane in SETTINGS["lanes"]],
+        "host-types": [random_name(0), random_name(1)],
+        "failure-domains": [random_name(0), random_name(1)],
+        "tenants": [{"name": random_name(tenant)} for tenant in range(3)],
+        "lanes": [{**request_class, "name": random_name(request_class)} for request_class in SETTINGS["lanes"]],
     }
     assert decisions(named, tmp_path) == decisions(renamed, tmp_path)
 
 
-def test_no_name_of_a_deployment_stands_in_the_code():
+def test_product_code_contains_no_names_of_a_deployment():
     names = re.compile(
         r"fast-runner|plain-runner|fast-5|std-5|surabaya|semarang|leon-norte|taller-|press-status"
         r"|template-sync|preview-feed|latihan-jawa|bajio"
     )
     found = [
-        f.name
-        for f in (ROOT / "aspensaddle").rglob("*.py")
-        if any(names.search(line.split("#")[0]) for line in f.read_text().splitlines())
-        and f.parts[-2] not in ("conformance", "cases")
+        file.name
+        for file in (ROOT / "aspensaddle").rglob("*.py")
+        if any(names.search(line.split("#")[0]) for line in file.read_text().splitlines())
+        and file.parts[-2] not in ("conformance", "cases")
     ]
     assert not found, found
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -1,4 +1,4 @@
-"""Server pool: the sums over the available servers."""
+"""Server pool: sums over the available servers."""
 
 import pytest
 from helpers import entry
@@ -14,7 +14,7 @@
     return server
 
 
-def test_sums_follow_the_servers_that_are_added_and_removed():
+def test_sums_include_added_servers_until_they_are_removed():
     pool = ServerPool()
     first, second = server_with(1, 0.25, 1.0), server_with(2, 0.75, 2.0)
     pool.add(first)
@@ -24,7 +24,7 @@
     assert (pool.available_count, pool.share, pool.load) == (1, 0.75, 2.0)
 
 
-def test_empty_pool_has_exact_zeros_in_spite_of_rounding():
+def test_sums_of_an_empty_pool_are_exactly_zero_despite_rounding():
     pool = ServerPool()
     servers = [server_with(number, 0.1, 0.1) for number in range(3)]
     for server in servers:
@@ -34,7 +34,7 @@
     assert (pool.available_count, pool.share, pool.load) == (0, 0.0, 0.0)
 
 
-def test_reset_forgets_turns_and_sums():
+def test_reset_clears_rotation_heap_and_sums():
     pool = ServerPool()
     server = server_with(1, 0.5, 1.0)
     pool.add(server)
@@ -43,7 +43,7 @@
     assert (pool.rotation_heap, pool.available_count, pool.share, pool.load) == ([], 0, 0.0, 0.0)
 
 
-def test_load_per_share_is_the_mean_of_the_servers_that_are_not_slow():
+def test_load_per_share_is_raised_by_the_fraction_of_slow_servers():
     pool = ServerPool()
     pool.add(server_with(1, 0.5, 1.0))
     assert pool.load_per_share() == pytest.approx(2.0)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("slow_fraction", [0.0, 1.0])
-def test_load_per_share_is_infinite_without_a_server_that_is_not_slow(slow_fraction):
+def test_load_per_share_is_infinite_without_an_available_server_that_is_not_slow(slow_fraction):
     pool = ServerPool()
     if slow_fraction:
         pool.add(server_with(1, 0.5, 1.0))
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: which server an attempt goes to, in the order of the rules."""
+"""Server selection: which server the next attempt of a request goes to."""
 
 from dataclasses import replace
 
@@ -39,8 +39,10 @@
 
 
 def test_server_outside_the_deduplication_scope_may_not_be_attempted():
-    keyed = replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ZONE)
-    settings: Settings = replace(SETTINGS, classes=(keyed,), zone_count=2)
+    class_with_key = replace(
+        CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ZONE
+    )
+    settings: Settings = replace(SETTINGS, classes=(class_with_key,), zone_count=2)
     harness = BalancerHarness([entry(1, zone=0), entry(2, zone=0), entry(3, zone=1)], settings)
     request = request_of_class()
     request.possibly_executed_on = harness.balancer.servers[1]
@@ -48,7 +50,7 @@
     assert [may_attempt(harness, request, server) for server in (1, 2, 3)] == [True, True, False]
 
 
-def test_retry_goes_to_a_server_that_was_not_tried_while_there_is_one():
+def test_retry_goes_to_a_server_that_was_not_tried_while_one_is_left():
     harness = BalancerHarness(4)
     (attempt,) = harness.ask()
     tried = [attempt.server]
@@ -67,7 +69,7 @@
     assert {harness.place().server for _ in range(10)} == {1}
 
 
-def test_ejected_server_is_chosen_where_no_other_is_left():
+def test_ejected_server_is_chosen_if_no_other_is_left():
     harness = BalancerHarness(1)
     harness.balancer.servers[1].consecutive_failures = 1
     harness.balancer.servers[1].ejected_until = harness.now + 10.0
