--- a/aspensaddle/core/server_pool.py
+++ b/aspensaddle/core/server_pool.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         """Start without servers."""
-        # Entries of (normalized load, server id, server). Outdated entries are skipped when they are popped.
+        # Entries of (normalized load, server id, server). Outdated entries are discarded when they are popped.
         self.rotation_heap: RotationHeap = []
         self.ring = HashRing()  # the pool's servers, added on first use
         self.slow_fraction = 0.0  # the fraction of slow servers among those that hold connections of this balancer
