--- a/aspensaddle/core/server_selection.py
+++ b/aspensaddle/core/server_selection.py
@@ -70,7 +70,7 @@
         request_class = self._state.settings.classes[request.request.class_index]
         if not may_retry_on(now, request, request_class, server):
             return False
-        if self._slow_start.holds_back(now, request, server):
+        if self._slow_start.exceeds_limit(now, request, server):
             return False
         capacity = server.reported.capacity
         return not capacity or server.load <= request.utilization_limit * capacity
@@ -125,7 +125,7 @@
         drawn = self._state.random.random() < RECONNECT_REJECT_FRACTION
         if not drawn or not preferred or not preferred[0].is_available:
             return False
-        return self._slow_start.holds_back(now, request, preferred[0])
+        return self._slow_start.exceeds_limit(now, request, preferred[0])
 
     def _preferred_within_load(self, now: float, pool: ServerPool, key: int, request: RequestState) -> Server | None:
         """Return the first server on the ring that is not loaded much above its pool."""
--- a/aspensaddle/core/slow_start.py
+++ b/aspensaddle/core/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how much of what comes may go to a server that is warming up.
+"""Slow start: limits the new load that a server gets while it is warming up.
 
-The service rules bound what all balancers together send to such a server. No balancer sees the others, so each lets a
-random part of its requests through, small enough that the sum over all balancers keeps the bound.
+The service rules limit what all balancers together send to such a server. No balancer sees the requests of the
+others, so each admits a random part of its own, small enough that all of them together stay within the limit.
 """
 
 from __future__ import annotations
@@ -11,12 +11,14 @@
 from aspensaddle.core.request_state import RequestState
 from aspensaddle.core.server_state import Server
 
-POPULARITY_FACTOR = 3.0  # safety on the mean fraction of a server: group shares are estimated from few requests
-
-PRIOR_REQUESTS_OF_OTHER_GROUPS = 2
-MIN_REQUESTS_PER_SECOND = 0.1  # over the overload window in seconds: what is always allowed
-MIN_ALLOWED_LOAD_RATE = 1e-9  # keeps divisions defined
-ATTEMPT_INTERVAL_FACTOR = 2  # with few balancers, half of what the rules allow
+# Safety factor on the estimated part of all requests that would go to one server: the shares of session groups are
+# estimated from few requests.
+OFFERED_FRACTION_SAFETY_FACTOR = 3.0
+PRIOR_REQUESTS_OF_OTHER_GROUPS = 2  # assumed besides those counted, which damps shares of few requests
+MIN_REQUESTS_PER_OVERLOAD_WINDOW = 0.1  # always allowed, counted as requests of mean load
+MIN_ALLOWED_LOAD_RATE = 1e-9  # avoids a division by zero
+# With few balancers, each uses at most half of its even part of what the rules allow.
+ATTEMPT_INTERVAL_FACTOR = 2
 
 
 class SlowStart:
@@ -26,54 +28,58 @@
         """Read rates, loads and settings from `state`."""
         self._state = state
 
-    def holds_back(self, now: float, request: RequestState, server: Server) -> bool:
-        """Return whether the limit keeps an attempt from a server, and note that as the reason in the request.
+    def exceeds_limit(self, now: float, request: RequestState, server: Server) -> bool:
+        """Return whether an attempt at a server would exceed the limit; if so, record that reason in the request.
 
-        One random number per request serves for all servers that it meets.
+        One random number is drawn per request and compared with the limits of all servers that are considered for it.
         """
-        warmth = self._state.capacity_fraction(now, server)
-        if warmth >= 1.0:
+        available_fraction = self._state.capacity_fraction(now, server)
+        if available_fraction >= 1.0:
             return False
-        allowed = self._allowed_load_rate(server, warmth)
+        allowed = self._allowed_load_rate(server, available_fraction)
         request.slow_start_draw = request.slow_start_draw or self._state.random.random()
         too_soon = now < server.last_attempt_at + self._min_attempt_interval(request, allowed)
-        held_back = too_soon or request.slow_start_draw * self._offered_load_rate(request) >= allowed
-        if held_back:
+        is_over_limit = too_soon or request.slow_start_draw * self._offered_load_rate(request) >= allowed
+        if is_over_limit:
             request.no_server_reason = RejectReason.SLOW_START_LIMIT
-        return held_back
+        return is_over_limit
 
-    def _allowed_load_rate(self, server: Server, warmth: float) -> float:
-        """Return the new load per second that all balancers together may send to the server."""
+    def _allowed_load_rate(self, server: Server, available_fraction: float) -> float:
+        """Return the new load per second that all balancers together may send to a server."""
         state = self._state
         rules = state.rules
-        listed = server.weight if state.load_samples and state.settings.weights_are_sizes else 0.0
-        typical = state.typical_server_load * state.settings.balancer_count / state.balancers_in_load
-        capacity = state.reported_capacity or listed or typical
-        allowed = rules.overload_multiple * capacity * warmth / rules.slow_start_duration
-        minimum = MIN_REQUESTS_PER_SECOND * state.mean_load / max(1.0, rules.overload_window)
+        listed_capacity = server.weight if state.load_samples and state.settings.weights_are_sizes else 0.0
+        typical_capacity = state.typical_server_load * state.settings.balancer_count / state.balancers_in_load
+        capacity = state.reported_capacity or listed_capacity or typical_capacity
+        allowed = rules.overload_multiple * capacity * available_fraction / rules.slow_start_duration
+        minimum = MIN_REQUESTS_PER_OVERLOAD_WINDOW * state.mean_load / max(1.0, rules.overload_window)
         return max(allowed, minimum, MIN_ALLOWED_LOAD_RATE)
 
     def _offered_load_rate(self, request: RequestState) -> float:
         """Return the load per second that all balancers together would send to the server without a limit."""
         state = self._state
-        return self._load_of_one_request_each() * state.request_rate.observed() * self._offered_fraction(request)
+        return (
+            self._load_of_one_request_per_balancer() * state.request_rate.observed() * self._offered_fraction(request)
+        )
 
     def _offered_fraction(self, request: RequestState) -> float:
         """Return the part of all requests that would go to one server that is warming up."""
         state = self._state
         group = request.request.session_group
         if request.preferred_server_count:
-            of_group = state.session_groups.share(group, PRIOR_REQUESTS_OF_OTHER_GROUPS)
-            return of_group / request.preferred_server_count + 1 / max(1, state.ready_count)
-        candidates = state.ready_count / max(1, state.ready_count - len(state.requests))
-        even = min(candidates / max(1, state.ready_count), 1 / max(1, state.warming_up_count))
-        return POPULARITY_FACTOR * max(even, state.session_groups.share(group, 0))
+            group_share = state.session_groups.share(group, PRIOR_REQUESTS_OF_OTHER_GROUPS)
+            return group_share / request.preferred_server_count + 1 / max(1, state.ready_count)
+        # Empty servers are chosen first, and at most `len(state.requests)` servers are not empty.
+        ready_per_empty_server = state.ready_count / max(1, state.ready_count - len(state.requests))
+        even_fraction = min(ready_per_empty_server / max(1, state.ready_count), 1 / max(1, state.warming_up_count))
+        return OFFERED_FRACTION_SAFETY_FACTOR * max(even_fraction, state.session_groups.share(group, 0))
 
     def _min_attempt_interval(self, request: RequestState, allowed: float) -> float:
-        """Return the seconds between two attempts of this balancer at one server that is warming up."""
+        """Return the minimum seconds between two attempts of this balancer at one server that is warming up."""
         if request.preferred_server_count:
             return self._state.mean_load / allowed
-        return ATTEMPT_INTERVAL_FACTOR * self._load_of_one_request_each() / allowed
+        return ATTEMPT_INTERVAL_FACTOR * self._load_of_one_request_per_balancer() / allowed
 
-    def _load_of_one_request_each(self) -> float:
+    def _load_of_one_request_per_balancer(self) -> float:
+        """Return the load if every balancer sent one request of mean load."""
         return self._state.settings.balancer_count * self._state.mean_load
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -138,7 +138,7 @@
 
 
 def test_budgets_are_exceeded_without_the_slow_start_limit(monkeypatch):
-    monkeypatch.setattr("aspensaddle.core.slow_start.SlowStart.holds_back", lambda *args: False)
+    monkeypatch.setattr("aspensaddle.core.slow_start.SlowStart.exceeds_limit", lambda *args: False)
     assert len(budget_violations(Fleet(20, asked=4.0), range(1))) >= 6
 
 
