--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -123,10 +123,10 @@
     def _tick(self, now: float) -> list[Action]:
         """Run the periodic rules. Their order matters: readmitted servers are placed by the refresh after it."""
         self.passive_measurement.cut_worst(now)
-        self.outlier_ejection.readmit_holding(now)
-        self.latency_outliers.clear_silent(now)
+        self.outlier_ejection.readmit_recovered(now)
+        self.latency_outliers.clear_stale_marks(now)
         self.rotation.refresh_unsettled(now, by_warm_up=bool(self.passive_measurement.slot % WARM_UP_REFRESH_TICKS))
-        self.latency_outliers.survey(now)
+        self.latency_outliers.update_statistics(now)
         self.outlier_ejection.decay_lost_connections()
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
@@ -140,7 +140,7 @@
         if event.scope is EndpointUpdateScope.FAILED:
             return [self.membership.retry_watch()]
         if self.membership.update(now, event):
-            self.latency_outliers.survey(now)
+            self.latency_outliers.update_statistics(now)
         return [*self.health_checks.due(now)]
 
     def _endpoint_list_confirmed(self, now: float, event: EndpointListConfirmed) -> list[Action]:
@@ -278,12 +278,12 @@
 
     def _server_latency_reported(self, now: float, event: ServerLatencyReported) -> list[Action]:
         server = self.state.servers.get(event.server)
-        if server is None or not self.latency_outliers.report(now, server, event.latency):
+        if server is None or not self.latency_outliers.record_report(now, server, event.latency):
             return []
         return [*self.migration.off_slow_server(server, event.latency)]
 
     def _health_check_completed(self, now: float, event: HealthCheckCompleted) -> list[Action]:
         server = self.state.servers.get(event.server)
-        if server is None or not self.health_checks.take_report(now, server, event.report):
+        if server is None or not self.health_checks.record_report(now, server, event.report):
             return []
         return [*self.migration.off_overloaded_server(server)]
--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks: when servers are asked for load reports, and what these tell of capacity.
+"""Health checks: when servers are asked for load reports, and the capacity that follows from these.
 
-A check that fails ejects nothing: faults are seen on the connections themselves.
+A failed health check ejects no server: failures are detected on the connections themselves.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from aspensaddle.core.load_reports import health_check_interval
 from aspensaddle.core.server_state import Server
 
-SMOOTHED_SERVERS = 10  # reports that the capacity of a warm server is a running mean over
+CAPACITY_SMOOTHING_REPORTS = 10  # the capacity of a warm server is a running mean over so many reports
 
 
 class HealthChecks:
-    """Asks servers for load reports where the settings allow it, and takes the reports."""
+    """Asks servers for load reports where the settings allow it, and records the reports."""
 
     def __init__(self, state: BalancerState, accounting: LoadAccounting) -> None:
-        """Take reports into `state`, and recount servers by `accounting`."""
+        """Record reports in `state`, and update the loads of servers through `accounting`."""
         self._state = state
         self._accounting = accounting
 
@@ -28,25 +28,25 @@
         """Return the health checks that are due and count them as sent; new servers are checked at once."""
         state = self._state
         interval = health_check_interval(state.settings, state.ready_count, state.request_rate.smoothed())
-        interval -= SLOT_SECONDS / 2  # half a tick of tolerance
+        interval -= SLOT_SECONDS / 2  # a tolerance of half a tick
         return [
             CheckHealth(server.id)
             for server in state.servers.values()
             if state.uses_load_reports and server.is_ready and server.reported.mark_check_sent_if_due(now, interval)
         ]
 
-    def take_report(self, now: float, server: Server, report: LoadReport | None) -> bool:
-        """Take the report of a server; return False where it tells nothing."""
+    def record_report(self, now: float, server: Server, report: LoadReport | None) -> bool:
+        """Record the report of a server; return whether it was usable."""
         state = self._state
         mean_load = self._accounting.mean_own_load()
         if not state.uses_load_reports:
             return False
-        warmth = state.capacity_fraction(now, server)
-        default_capacity = state.reported_capacity * warmth or 1.0
+        available_fraction = state.capacity_fraction(now, server)
+        default_capacity = state.reported_capacity * available_fraction or 1.0
         if not server.reported.update(report, server.own_load, mean_load, default_capacity):
             return False
-        if server.reported.capacity and warmth >= 1.0:
-            weight = SMOOTHED_SERVERS if state.reported_capacity else 1
+        if server.reported.capacity and available_fraction >= 1.0:
+            weight = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
             state.reported_capacity += (server.reported.capacity - state.reported_capacity) / weight
         self._accounting.recount(server)
         return True
