--- a/aspensaddle/core/attempt_window.py
+++ b/aspensaddle/core/attempt_window.py
@@ -7,7 +7,7 @@
 
 
 class AttemptWindow:
-    """Attempts and accepted attempts by slot, and their sums `sends` and `accepts`."""
+    """Attempts and accepted attempts by slot; `sends` and `accepts` are their sums over the window."""
 
     __slots__ = ("_accepts", "_sends", "accepts", "sends")
 
@@ -19,14 +19,14 @@
         self._accepts = [0] * WINDOW_SLOTS
 
     def count(self, slot: int, accepted: bool) -> None:
-        """Count one attempt in a slot."""
+        """Count an attempt in a slot."""
         self._sends[slot] += 1
         self._accepts[slot] += accepted
         self.sends += 1
         self.accepts += accepted
 
     def clear(self, slot: int) -> bool:
-        """Clear a slot, the oldest one; return whether any attempt is left in the window."""
+        """Clear the oldest slot; return whether any attempt is left in the window."""
         self.sends -= self._sends[slot]
         self.accepts -= self._accepts[slot]
         self._sends[slot] = 0
--- a/aspensaddle/core/membership.py
+++ b/aspensaddle/core/membership.py
@@ -1,4 +1,4 @@
-"""Membership: servers that join, leave or change by the endpoint list, and when a failed watch is retried."""
+"""Membership: applies the endpoint list, by which servers join, leave or change, and schedules the watch for it."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 WATCH_TIMER = "watch"
 WATCH_RETRY_BASE_SECONDS = 0.5
 MIN_WATCH_RETRY_CAP_SECONDS = 1.0
-MAX_BACKOFF_DOUBLINGS = 10  # keeps the power small; the cap is reached before
+MAX_BACKOFF_DOUBLINGS = 10  # bounds the power of two; the wait reaches its cap with fewer
 
 
 class Membership:
-    """Keeps the servers of the state in step with the endpoint list."""
+    """Keeps the servers of the balancer's state in line with the endpoint list."""
 
     def __init__(self, state: BalancerState, rotation: WeightedRotation) -> None:
-        """Start without a list."""
+        """Start without an endpoint list."""
         self._state = state
         self._rotation = rotation
         self._failed_watches = 0
-        self._departed: dict[int, Server] = {}  # left the list and still hold attempts or connections
+        self._departed: dict[int, Server] = {}  # those that left the list and still hold requests
 
     def first_watch(self) -> SetTimer:
-        """Return the timer of the first watch, spread so that balancers do not start theirs together."""
+        """Return the timer of the first watch, with a random delay so that balancers do not all start it at once."""
         return SetTimer(WATCH_TIMER, self._state.random.uniform(0.0, self._state.rules.poll_interval / 2))
 
     def retry_watch(self) -> SetTimer:
-        """Return the timer of the next watch after a failed one, by exponential backoff with jitter.
+        """Return the timer of the watch that follows a failed one, by exponential backoff with jitter.
 
-        With pushed lists the watch goes to a local agent, so that the longest wait is short.
+        Where lists are pushed, the watch goes to a local agent, so that the cap of the wait is low.
         """
         self._failed_watches += 1
-        longest = self._state.rules.poll_interval if self._state.settings.polls_discovery else 0.0
+        max_wait = self._state.rules.poll_interval if self._state.settings.polls_discovery else 0.0
         doublings = min(self._failed_watches, MAX_BACKOFF_DOUBLINGS)
-        wait = min(max(MIN_WATCH_RETRY_CAP_SECONDS, longest), WATCH_RETRY_BASE_SECONDS * 2**doublings)
+        wait = min(max(MIN_WATCH_RETRY_CAP_SECONDS, max_wait), WATCH_RETRY_BASE_SECONDS * 2**doublings)
         return SetTimer(WATCH_TIMER, self._state.random.uniform(wait / 2, wait))
 
     def update(self, now: float, event: EndpointsChanged) -> bool:
-        """Take an update of the endpoint list; return whether servers joined, left or changed their state."""
+        """Apply an update of the endpoint list; return whether a server joined, left, restarted or changed state."""
         self._failed_watches = 0
         self._departed = {number: server for number, server in self._departed.items() if server.request_count}
         changed = self._remove_unlisted(event) + [
             server for endpoint in event.endpoints if (server := self._update_server(endpoint))
         ]
-        self._point_requests_to_returned()
+        self._relink_requests_of_returned_servers()
         if changed:
             self._reset(now, changed)
         self._rotation.needs_layout = True
@@ -54,21 +54,21 @@
         return bool(changed)
 
     def _remove_unlisted(self, event: EndpointsChanged) -> list[Server]:
-        """Remove the servers that a complete list does not name."""
+        """Remove the servers that a complete list does not contain; return them."""
         if event.scope is EndpointUpdateScope.INCREMENTAL:
             return []
         listed = {endpoint.server for endpoint in event.endpoints}
         return [self._remove(number) for number in list(self._state.servers) if number not in listed]
 
     def _remove(self, number: int) -> Server:
-        """Remove a server; memory is bounded by the servers that are listed and those that hold requests."""
+        """Remove a server. Its record is kept only while it holds requests, which bounds the memory used."""
         server = self._state.servers.pop(number)
         if server.request_count:
             self._departed[number] = server
         return server
 
     def _add(self, endpoint: Endpoint) -> Server:
-        """Add a server; one that returns still holds the attempts and connections that it had."""
+        """Add a server; one that returns to the list keeps the attempts and connections that it still holds."""
         server = Server(endpoint, self._state.random.random())
         self._state.servers[endpoint.server] = server
         departed = self._departed.get(endpoint.server)
@@ -76,8 +76,8 @@
             server.take_requests_from(departed)
         return server
 
-    def _point_requests_to_returned(self) -> None:
-        """Let the requests at servers that have returned refer to their new records."""
+    def _relink_requests_of_returned_servers(self) -> None:
+        """Make requests at servers that returned to the list refer to the new records of these servers."""
         returned = self._departed.keys() & self._state.servers.keys()
         if not returned:
             return
@@ -88,7 +88,7 @@
             del self._departed[number]
 
     def _update_server(self, endpoint: Endpoint) -> Server | None:
-        """Take one endpoint; return its server if that joined, left, restarted or changed its state."""
+        """Apply one entry of the list; return its server if that joined, left, restarted or changed state."""
         servers = self._state.servers
         server = servers.get(endpoint.server)
         if server is None:
@@ -101,7 +101,10 @@
         return server if changed else None
 
     def _reset(self, now: float, changed: list[Server]) -> None:
-        """Let servers join at the mean ratio without failures, and others leave. Counts and reports stay."""
+        """Put changed servers into the rotation at the mean ratio and without failures, or take them out of it.
+
+        Their attempt counts and load reports are kept.
+        """
         for server in changed:
             server.is_ready = server.is_ready and server.id in self._state.servers
             server.ratio = 0.0
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -1,6 +1,7 @@
-"""Migration: which open connections are asked to reconnect, to move their load to other servers.
+"""Migration: which open connections are asked to reconnect, so that other servers take their load.
 
-A migrated client comes back as a new request. Each connection is asked once: it then leaves `Server.connections`.
+A migrated client comes back with a new request. Each connection is asked once, and is then removed from
+`Server.connections`.
 """
 
 from __future__ import annotations
@@ -10,60 +11,61 @@
 from aspensaddle.core.capacity_shortage import ServerCapacity
 from aspensaddle.core.server_state import Server
 
-REBALANCE_FRACTION = 0.1  # of a server's connections that leave per tick or report, at most
-REBALANCE_MIN_LOAD_PER_CORE = 0.3  # load in cores for each listed core, from which a server may lose connections
-REBALANCE_MIN_LOAD_RATIO = 1.5  # to the mean load per share of all servers, the same
-MIN_LOAD_SAMPLES = 10  # connections with a known load, below which the mean load says too little
-MAX_UTILIZATION = 0.95  # of a server's reported capacity; the excess leaves
+REBALANCE_FRACTION = 0.1  # maximum part of a server's connections that is migrated per tick or report
+REBALANCE_MIN_LOAD_PER_CORE = 0.3  # load in cores per listed core above which a server is rebalanced
+REBALANCE_MIN_LOAD_RATIO = 1.5  # ratio to the fleet's mean load per share above which a server is rebalanced
+MIN_LOAD_SAMPLES = 10  # connections with a known load that a reliable mean load needs
+MAX_UTILIZATION = 0.95  # load over reported capacity above which the excess is migrated
 
 
 class Migration:
     """Finds connections to migrate: off loaded, slow and overloaded servers, and heavy ones in a shortage."""
 
     def __init__(self, state: BalancerState) -> None:
-        """Decide by `state`."""
+        """Read servers, requests and settings from `state`."""
         self._state = state
 
     def rebalance(self) -> list[Migrate]:
-        """Migrate off the server with the most load for its share, while that is far over the fleet's mean.
+        """Migrate off the server with the most load per share, while that is far above the fleet's mean.
 
-        Loads swing after a connection was placed. Nothing is moved while capacity is missing by the list.
+        Loads change after a connection was placed. Nothing is rebalanced while the list shows a capacity shortage.
         """
         state = self._state
-        loaded = [server for server in state.servers.values() if self._is_loaded(server)]
-        if not loaded or not state.load_samples or state.shortage.missing:
+        candidates = [server for server in state.servers.values() if self._is_rebalance_candidate(server)]
+        if not candidates or not state.load_samples or state.shortage.missing:
             return []
         fleet_load = state.fleet_pool.load_per_share()
         if not 0 < fleet_load < float("inf"):
             return []
-        server = max(loaded, key=lambda server: server.next_turn)
+        server = max(candidates, key=lambda server: server.next_turn)
         excess = server.next_turn / (REBALANCE_MIN_LOAD_RATIO * fleet_load) - 1
         return self._migrate_fraction(server, REBALANCE_FRACTION * min(1.0, excess))
 
-    def _is_loaded(self, server: Server) -> bool:
+    def _is_rebalance_candidate(self, server: Server) -> bool:
+        """Return whether a server has connections, and enough load that some of them may be migrated."""
         if not server.connections or not server.share:
             return False
         return server.load > REBALANCE_MIN_LOAD_PER_CORE * server.share * self._state.ready_count
 
     def off_slow_server(self, server: Server, latency: float) -> list[Migrate]:
-        """Migrate off a slow server, by how slow it is.
+        """Migrate connections off a slow server, in proportion to its latency.
 
-        Balancers without connections there do not know of it and keep placing, so that more is migrated the less of
-        the fleet this balancer sees.
+        Balancers without connections there do not know that it is slow and keep placing connections on it. To make
+        up for that, more is migrated the fewer of the servers hold connections of this balancer.
         """
         state = self._state
         slowness = min(1.0, latency / state.message_latency_objective)
         return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unseen_weight) * slowness)
 
     def off_overloaded_server(self, server: Server) -> list[Migrate]:
-        """Migrate what a server reports to be asked beyond its capacity."""
+        """Migrate the part of a server's load that exceeds the capacity that it reports."""
         capacity = server.reported.capacity
         if not capacity or not server.load:
             return []
         return self._migrate_fraction(server, 1 - MAX_UTILIZATION * capacity / server.load)
 
     def heavy_connections(self, now: float) -> list[Migrate]:
-        """Update the capacity shortage, and migrate the connections that are too heavy for it."""
+        """Update the capacity shortage, and migrate the connections whose load is too heavy in it."""
         self._update_shortage(now)
         limit = self._state.shortage.max_connection_load
         heavy = [
@@ -74,17 +76,20 @@
         return [
             Migrate(request.request.request_id)
             for request in heavy
-            if request.server and self._ask_once(request.server, request.request.request_id)
+            if request.server and self._mark_asked(request.server, request.request.request_id)
         ]
 
     def if_heavy(self, server: Server, request_id: str, load: float) -> list[Migrate]:
-        """Migrate a connection whose reported load is too heavy for the shortage."""
-        if load > self._state.shortage.max_connection_load and self._ask_once(server, request_id):
+        """Migrate a connection if its reported load is too heavy in the capacity shortage."""
+        if load > self._state.shortage.max_connection_load and self._mark_asked(server, request_id):
             return [Migrate(request_id)]
         return []
 
     def _update_shortage(self, now: float) -> None:
-        """Find the shortage. It applies to many balancers that see little, with listed sizes and without reports."""
+        """Update the capacity shortage by the list and the lost connections.
+
+        It is used only if many balancers each hold few connections, sizes are listed and there are no load reports.
+        """
         state = self._state
         applies = state.sees_little and state.settings.weights_are_sizes and not state.uses_load_reports
         capacities = [
@@ -100,15 +105,15 @@
         )
 
     def _migrate_fraction(self, server: Server, fraction: float) -> list[Migrate]:
-        """Migrate a fraction of a server's connections, those first that free most load."""
+        """Migrate a fraction of a server's connections, beginning with those that free the most load."""
         count = int(fraction * len(server.connections) + self._state.random.random()) if fraction > 0 else 0
         by_load = sorted(
             server.connections, key=lambda request_id: self._freed_load(server, request_id), reverse=True
         )
-        return [Migrate(request_id) for request_id in by_load[:count] if self._ask_once(server, request_id)]
+        return [Migrate(request_id) for request_id in by_load[:count] if self._mark_asked(server, request_id)]
 
     def _freed_load(self, server: Server, request_id: str) -> float:
-        """Return the load that a server loses with a connection; the last of a session group frees its cost."""
+        """Return the load that a server loses with a connection, including its part of the session group's cost."""
         state = self._state
         request = server.connections[request_id]
         group = request.request.session_group
@@ -118,5 +123,6 @@
         return (state.mean_load if request.load is None else request.load) + group_load
 
     @staticmethod
-    def _ask_once(server: Server, request_id: str) -> bool:
+    def _mark_asked(server: Server, request_id: str) -> bool:
+        """Mark a connection as asked to migrate; return False if it was marked before."""
         return server.connections.pop(request_id, None) is not None
--- a/aspensaddle/core/passive_measurement.py
+++ b/aspensaddle/core/passive_measurement.py
@@ -1,8 +1,8 @@
-"""Passive measurement: the share of new connections of a server follows from its rejection ratio.
+"""Passive measurement: a server's ratio of the new connections follows from its rejection ratio.
 
 Ohta and Andou, "WWW Server Load Balancing Technique Employing Passive Measurement of Server Performance": attempts S
 and accepted attempts A of each server are counted over a sliding window. Every tick the server with the largest
-rejection ratio R = (S - A) / A loses a part of its ratio, which the others share.
+rejection ratio R = (S - A) / A loses a part of its ratio of the new connections, which is divided among the others.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 TICK_SECONDS = SLOT_SECONDS
-CUT_FRACTION = 0.1  # of its ratio, what the worst server loses at a tick; the paper's figure
+CUT_FRACTION = 0.1  # part of its ratio that the worst server loses per tick, as in the paper
 
 
 def rejection_rank(server: Server) -> tuple[float, int]:
-    """Return the rejection ratio, then the count of failures. Attempts without any accepted one rank worst."""
+    """Return the rejection ratio and the number of attempts not accepted; a server that accepted none ranks worst."""
     accepts = server.window.accepts
-    missed = server.window.sends - accepts
+    not_accepted = server.window.sends - accepts
     if accepts:
-        return (missed / accepts, missed)
-    return (float("inf") if missed else 0.0, missed)
+        return (not_accepted / accepts, not_accepted)
+    return (float("inf") if not_accepted else 0.0, not_accepted)
 
 
 class PassiveMeasurement:
-    """Counts attempts by slot and cuts the ratio of the worst server."""
+    """Counts attempts by slot, and lowers the ratio of the worst server."""
 
     def __init__(self, state: BalancerState, rotation: WeightedRotation) -> None:
         """Start at slot 0 without counts."""
         self._state = state
         self._rotation = rotation
         self.slot = 0
-        self.active: dict[int, Server] = {}  # servers with a count in the window
+        self.active: dict[int, Server] = {}  # servers with attempts in the window
 
     def count(self, server: Server, *, accepted: bool) -> None:
-        """Count an attempt at a server."""
+        """Count an attempt at a server in the current slot."""
         self.active[server.id] = server
         server.window.count(self.slot, accepted)
 
     def cut_worst(self, now: float) -> None:
-        """Take a part off the ratio of the worst server and share it among the others."""
+        """Take a part of the ratio of the worst server, and divide it evenly among the others."""
         ready_count = self._state.ready_count
         candidates = (server for server in self.active.values() if server.is_ready)
         worst = max(candidates, key=rejection_rank, default=None)
@@ -51,13 +51,13 @@
         if not failures:
             return
         cut = CUT_FRACTION * (worst.ratio + self._rotation.raised)
-        each = cut / (ready_count - 1)
-        worst.ratio -= cut + each  # what is raised below counts for all, for this one too
-        self._rotation.raised += each
+        gain = cut / (ready_count - 1)
+        worst.ratio -= cut + gain  # `raised` below is added to every ratio, also to this one
+        self._rotation.raised += gain
         self._rotation.place(now, worst)
 
     def advance_slot(self) -> None:
-        """Open the next slot, dropping what it counted a window ago."""
+        """Start the next slot, and drop the counts that it holds from one window ago."""
         self.slot = (self.slot + 1) % WINDOW_SLOTS
         for server in list(self.active.values()):
             if not server.window.clear(self.slot):
--- a/aspensaddle/core/slow_responses.py
+++ b/aspensaddle/core/slow_responses.py
@@ -1,4 +1,4 @@
-"""Detection of slow servers by the time that their responses take on this balancer's connections."""
+"""Detection of slow servers by the delays of their responses on this balancer's connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from aspensaddle.core.settings import Settings
 
 REPORT_INTERVAL_SECONDS = 1.0  # as often as servers report their latency themselves
-SLOW_FRACTION = 1 / 3  # of the shortest message latency objective, from which a server is slow
+SLOW_FRACTION = 1 / 3  # part of the shortest message latency objective from which on a latency is slow
 
 
 class _ServerResponses:
@@ -22,28 +22,28 @@
 
 
 class SlowResponseDetector:
-    """Turns single response delays into a report per server and second. All times are seconds."""
+    """Turns single response delays into at most one latency report per server and second. Times are seconds."""
 
     def __init__(self, settings: Settings) -> None:
-        """Take the latency objectives of `settings`."""
+        """Use the latency objectives of `settings`."""
         self._servers: dict[int, _ServerResponses] = {}
         self._event_loop_lag = 0.0
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Take the latency objectives of other settings from now on."""
+        """Use the latency objectives of other settings from now on."""
         objective = min(request_class.message_latency_objective for request_class in settings.classes)
-        self._slow_from = SLOW_FRACTION * objective
+        self._slow_latency = SLOW_FRACTION * objective
 
     def record_event_loop_lag(self, lag: float) -> None:
-        """Note that this process was late by `lag`. Older lag counts half at each call."""
+        """Record by how much the event loop of this process was late. Each call halves the lag recorded before."""
         self._event_loop_lag = max(lag, self._event_loop_lag / 2)
 
     def record(self, now: float, server: int, delay: float) -> float | None:
-        """Note one response delay; return the latency to report for the server, if one is due.
+        """Record one response delay; return the latency to report for the server, or None if no report is due.
 
-        A latency is due when the server is slow, or was slow at the last report. The median keeps one late response
-        from counting. This process's own lag is taken off: under load it would make every server look slow.
+        A report is due when the server is slow, or was slow at the last report. The median ignores a single late
+        response. The event-loop lag of this process is subtracted: under load it would make every server look slow.
         """
         responses = self._servers.setdefault(server, _ServerResponses())
         responses.delays.append(delay)
@@ -53,5 +53,5 @@
         responses.delays.clear()
         responses.reported_at = now
         was_slow = responses.is_slow
-        responses.is_slow = latency > self._slow_from
+        responses.is_slow = latency > self._slow_latency
         return latency if responses.is_slow or was_slow else None
