--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -189,8 +189,9 @@
             ),
             Random(seed),
         )
-        assert isinstance((ends := [harness.ends(session_group=seed)])[0], StartAttempt)  # one warm server is enough
+        # One warm server is enough.
+        assert isinstance((ends := [harness.finish_request(session_group=seed)])[0], StartAttempt)
         for n in range(40):
-            ends.append(harness.ends(draw, cls=n % len(classes), session_group=n % 5))
+            ends.append(harness.finish_request(draw, cls=n % len(classes), session_group=n % 5))
             harness.tick(0.1)
         assert len(harness.balancer.requests) == sum(isinstance(end, StartAttempt) for end in ends) > 1
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -1,4 +1,4 @@
-"""Latency outliers: servers with a high message latency get nothing new for a time."""
+"""Latency outliers: servers with a high message latency get no new connections for a time."""
 
 from __future__ import annotations
 
@@ -26,30 +26,31 @@
 
 def test_slow_server_gets_no_new_connections_and_ranks_as_failing():
     harness = BalancerHarness(4)
-    sends = [harness.place() for _ in range(8)]
-    slow = sends[0].server
-    harness.balancer.handle(harness.now, ServerLatencyReported(sends[0].request_id, slow, 0.03))
+    attempts = [harness.place() for _ in range(8)]
+    slow = attempts[0].server
+    harness.balancer.handle(harness.now, ServerLatencyReported(attempts[0].request_id, slow, 0.03))
     assert all(harness.place().server != slow for _ in range(8))
     assert rejection_rank(harness.balancer.servers[slow]) > (0.0, 0)
-    harness.balancer.handle(harness.now, ServerLatencyReported(sends[0].request_id, slow, 0.01))  # back under
+    # A latency below the threshold ends the mark.
+    harness.balancer.handle(harness.now, ServerLatencyReported(attempts[0].request_id, slow, 0.01))
     assert any(harness.place().server == slow for _ in range(8))
 
 
 def test_slow_servers_that_lost_all_connections_still_count_as_slow():
-    """An overload is still detected after the connections that reported it were lost."""
+    """Guards against an overload that is no longer detected once the connections that reported it are lost."""
     harness = BalancerHarness(6)
-    sends = [harness.place() for _ in range(6)]
-    for s in sends[:5]:
-        harness.balancer.handle(harness.now, ServerLatencyReported(s.request_id, s.server, 0.06))
-        harness.end(s, Outcome.CONNECTION_LOST, finished=True)
+    attempts = [harness.place() for _ in range(6)]
+    for attempt in attempts[:5]:
+        harness.balancer.handle(harness.now, ServerLatencyReported(attempt.request_id, attempt.server, 0.06))
+        harness.end(attempt, Outcome.CONNECTION_LOST, finished=True)
     harness.tick()
     assert isinstance(harness.ask()[0], Reject)
 
 
 @pytest.mark.parametrize("count", [2, MANY_BALANCERS])
-def test_empty_slow_server_gets_as_many_trials_from_many_balancers_as_from_few(count):
-    """A balancer without connections there learns only by its own attempt that the server is still slow."""
-    harnesses, seconds, tries = (
+def test_slow_server_without_connections_gets_no_more_attempts_from_many_balancers_than_from_few(count):
+    """A balancer without connections at the server learns only by its own attempt that it is still slow."""
+    harnesses, seconds, attempt_count = (
         harnesses_in_lock_step(settings=replace(SETTINGS, balancer_count=count), count=count),
         60,
         0,
@@ -57,21 +58,21 @@
     for harness in harnesses:
         report_latency(harness, 3, MESSAGE_LATENCY_OBJECTIVE)
     for _ in range(seconds):
-        for harness, send in place_on_each(harnesses, 3):
-            tries += 1
+        for harness, attempt in place_on_each(harnesses, 3):
+            attempt_count += 1
             report_latency(harness, 3, MESSAGE_LATENCY_OBJECTIVE)
-            harness.end(send, Outcome.CANCELLED)
+            harness.end(attempt, Outcome.CANCELLED)
         for harness in harnesses:
             harness.tick()
-    assert 0 < tries <= 2.5 * seconds / SLOW_SECONDS
+    assert 0 < attempt_count <= 2.5 * seconds / SLOW_SECONDS
 
 
 @pytest.mark.parametrize("count", [2, MANY_BALANCERS])
-def test_server_with_connections_is_slow_no_longer_than_its_reports_say(count):
-    """A balancer that gets reports does not extend the slow time for the number of balancers."""
+def test_mark_of_a_server_with_connections_ends_with_its_slow_reports(count):
+    """A balancer that gets reports does not keep the mark longer because there are many balancers."""
     harness = BalancerHarness(SERVER_COUNT, replace(SETTINGS, balancer_count=count))
-    sends = [harness.place(load_hint=LOAD) for _ in range(3 * SERVER_COUNT)]
-    assert sum(s.server == 3 for s in sends) > 1
+    attempts = [harness.place(load_hint=LOAD) for _ in range(3 * SERVER_COUNT)]
+    assert sum(attempt.server == 3 for attempt in attempts) > 1
     report_latency(harness, 3, MESSAGE_LATENCY_OBJECTIVE / 2)
     harness.tick()
     assert harness.balancer.servers[3].slow_until > harness.now and not harness.balancer.servers[3].is_available
@@ -82,19 +83,19 @@
 
 @pytest.mark.parametrize("count", [1, 3, 40, 230])
 @pytest.mark.parametrize("others", [0, 1])
-def test_one_slow_server_does_not_make_a_balancer_of_few_connections_reject_all(count, others):
-    """Fewer than 40 requests in a row, 0.1 s apart, are rejected."""
+def test_balancer_with_few_connections_does_not_reject_all_because_of_one_slow_server(count, others):
+    """Of requests 0.1 s apart, fewer than 40 in a row are rejected."""
     harness = DiscoveryHarness([listed_target(n) for n in range(60)], count)
-    action = [harness.ends() for _ in range(1 + others)][0]
+    action = [harness.finish_request() for _ in range(1 + others)][0]
     harness.balancer.handle(harness.now, ServerLatencyReported(action.request_id, action.server, 0.5))
-    harness.end(action, Outcome.CANCELLED, finished=True)  # moved
-    turned = 0  # on end
+    harness.end(action, Outcome.CANCELLED, finished=True)  # migrated
+    rejected_in_a_row = 0
     for step in range(400):
         if not step % 10:
             harness.tick(0.0)
         harness.now += 0.1
-        end = harness.ends()
-        turned = 0 if isinstance(end, StartAttempt) else turned + 1
-        assert turned < 40
-        if isinstance(end, StartAttempt):
-            harness.end(end, finished=True)
+        answer = harness.finish_request()
+        rejected_in_a_row = 0 if isinstance(answer, StartAttempt) else rejected_in_a_row + 1
+        assert rejected_in_a_row < 40
+        if isinstance(answer, StartAttempt):
+            harness.end(answer, finished=True)
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -72,4 +72,4 @@
     harness = DiscoveryHarness(
         [listed_target(0, capacity_hint=weight), *(listed_target(n, capacity_hint=1.0) for n in range(1, 4))], 230
     )
-    assert least <= [harness.fleet.uid(harness.ends().server) for _ in range(60)].count("s-0") <= most
+    assert least <= [harness.registry.uid(harness.finish_request().server) for _ in range(60)].count("s-0") <= most
