--- a/tests/test_attempt_window.py
+++ b/tests/test_attempt_window.py
@@ -11,7 +11,7 @@
     assert (window.sends, window.accepts) == (3, 2)
 
 
-def test_cleared_slot_leaves_the_sums_and_tells_whether_any_attempt_is_left():
+def test_clearing_a_slot_reduces_the_sums_and_returns_whether_any_attempt_is_left():
     window = AttemptWindow()
     window.count(0, accepted=True)
     window.count(1, accepted=False)
@@ -21,7 +21,7 @@
     assert (window.sends, window.accepts) == (0, 0)
 
 
-def test_clearing_a_slot_twice_changes_nothing_more():
+def test_clearing_a_slot_again_changes_nothing():
     window = AttemptWindow()
     window.count(0, accepted=True)
     window.count(1, accepted=True)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -26,45 +26,48 @@
 
 
 def harness_with_grown_loads(servers, **more):
-    """A harness whose server 1 has connections with loads that grew after they were placed."""
+    """Return a harness whose server 1 has connections with loads that grew after they were placed."""
     harness = BalancerHarness(servers, **more)
-    sends = [harness.place(load_hint=0.02) for _ in range(20 * servers)]
-    for send in sends:
-        if send.server == 1:
+    attempts = [harness.place(load_hint=0.02) for _ in range(20 * servers)]
+    for attempt in attempts:
+        if attempt.server == 1:
             harness.balancer.handle(
-                harness.now, ConnectionLoadReported(send.request_id, 1, 0.05 + 0.001 * int(send.request_id[1:]))
+                harness.now, ConnectionLoadReported(attempt.request_id, 1, 0.05 + 0.001 * int(attempt.request_id[1:]))
             )
     return harness
 
 
 def migrations(harness, ticks=10):
-    return [a for _ in range(ticks) for a in harness.tick() if isinstance(a, Migrate)]
+    return [action for _ in range(ticks) for action in harness.tick() if isinstance(action, Migrate)]
 
 
-def test_slow_server_loses_connections_the_heaviest_first():
+def test_slow_server_loses_its_heaviest_connections_first():
     harness = BalancerHarness(4)
-    sends = [harness.place(load_hint=float(n)) for n in range(1, 41)]
-    on = [s for s in sends if s.server == sends[0].server]
-    moves = harness.balancer.handle(harness.now, ServerLatencyReported(on[0].request_id, on[0].server, 0.06))
-    assert 1 <= len(moves) <= 2 and moves[0] == Migrate(on[-1].request_id)
+    attempts = [harness.place(load_hint=float(n)) for n in range(1, 41)]
+    on_slow_server = [attempt for attempt in attempts if attempt.server == attempts[0].server]
+    migrate_actions = harness.balancer.handle(
+        harness.now, ServerLatencyReported(on_slow_server[0].request_id, on_slow_server[0].server, 0.06)
+    )
+    assert 1 <= len(migrate_actions) <= 2 and migrate_actions[0] == Migrate(on_slow_server[-1].request_id)
 
 
 def test_server_far_over_the_mean_load_loses_its_heaviest_connections():
     harness = harness_with_grown_loads(4)
     before = harness.balancer.servers[1].load
-    first = migrations(harness, 1)
-    assert len(first) <= 3  # a tenth of 20, or less, a tick
-    gone = first + migrations(harness)
-    assert 2 <= len(gone) <= 20
-    loads = [harness.balancer.requests[m.request_id].load for m in gone]
-    assert min(loads) > max(r.load for r in harness.balancer.servers[1].connections.values())  # the heaviest
-    for m in gone:
-        harness.balancer.handle(harness.now, AttemptEnded(m.request_id, 0, 1, Outcome.CANCELLED, 0.0, True))
+    first_actions = migrations(harness, 1)
+    assert len(first_actions) <= 3  # per tick, at most a tenth of 20
+    migrate_actions = first_actions + migrations(harness)
+    assert 2 <= len(migrate_actions) <= 20
+    loads = [harness.balancer.requests[migrate.request_id].load for migrate in migrate_actions]
+    # The heaviest have migrated.
+    assert min(loads) > max(request.load for request in harness.balancer.servers[1].connections.values())
+    for migrate in migrate_actions:
+        harness.balancer.handle(harness.now, AttemptEnded(migrate.request_id, 0, 1, Outcome.CANCELLED, 0.0, True))
     assert harness.balancer.servers[1].load < before
 
 
-def test_no_connection_migrates_where_it_would_not_help():
-    assert not migrations(harness_with_grown_loads(1))  # nowhere else to go
+def test_no_connection_migrates_if_it_would_not_help():
+    assert not migrations(harness_with_grown_loads(1))  # there is no other server
     even = BalancerHarness(4)
     for _ in range(80):
         even.place(load_hint=0.05)
@@ -72,7 +75,7 @@
     light = BalancerHarness(4)
     for n in range(8):
         light.place(load_hint=0.01 * n)
-    assert not migrations(light)  # far from evenly, but hardly any load
+    assert not migrations(light)  # spread unevenly, but with hardly any load
     alone = harness_with_grown_loads(2)
     other = alone.balancer.servers[2]
     other.ejected_until = alone.now + 100
@@ -86,39 +89,39 @@
     harness.lay_out()
     for _ in range(20):
         harness.place(load_hint=0.05, session_group=1)
-    last = harness.place(load_hint=0.04, session_group=2)  # the only one of its group here
+    last = harness.place(load_hint=0.04, session_group=2)  # the only connection of its group
     harness.now += 5.0
     harness.lay_out()
     assert migrations(harness, 1)[0].request_id == last.request_id
 
 
-def test_more_leaves_a_slow_server_where_most_balancers_get_no_report_of_it():
-    """Balancers without connections there get no report and keep placing there, so that as many more must leave."""
-    harnesses, rounds, moved, there = harnesses_in_lock_step(), 200, 0, 0
+def test_more_connections_leave_a_slow_server_if_most_balancers_get_no_report_of_it():
+    """Balancers without connections at the server get no report and keep placing on it, so as many more must leave."""
+    harnesses, rounds, migrated, connection_count = harnesses_in_lock_step(), 200, 0, 0
     for _ in range(4):
         for harness in harnesses:
             harness.place(load_hint=LOAD)
-    unheard = (
-        sum(not s.connections for harness in harnesses for s in harness.balancer.servers.values())
+    unseen_fraction = (
+        sum(not server.connections for harness in harnesses for server in harness.balancer.servers.values())
         / MANY_BALANCERS
         / SERVER_COUNT
     )
-    assert unheard > 0.5
+    assert unseen_fraction > 0.5
     for harness in harnesses:
         harness.tick()
     for harness in (harness for harness in harnesses if harness.balancer.servers[3].connections):
-        s, held = harness.balancer.servers[3], dict(harness.balancer.servers[3].connections)
+        server, connections_before = harness.balancer.servers[3], dict(harness.balancer.servers[3].connections)
         for _ in range(rounds):  # the same connections again and again
-            there += len(held)
-            moved += len(
+            connection_count += len(connections_before)
+            migrated += len(
                 harness.balancer.handle(harness.now, ServerLatencyReported("", 3, MESSAGE_LATENCY_OBJECTIVE)) or []
             )
-            s.connections.update(held)
-    assert 0.9 < moved / there / (REBALANCE_FRACTION * (1 + unheard)) < 1.1
+            server.connections.update(connections_before)
+    assert 0.9 < migrated / connection_count / (REBALANCE_FRACTION * (1 + unseen_fraction)) < 1.1
 
 
 @pytest.mark.parametrize(
-    ("count", "cores", "breaks", "leaves"),
+    ("count", "cores", "lost_connections", "migrates"),
     [
         (1, 2.0, 3, False),
         (2, 2.0, 3, False),
@@ -128,48 +131,60 @@
     ],
 )
 def test_heaviest_connections_migrate_while_servers_lose_connections_for_lack_of_capacity(
-    count, cores, breaks, leaves
+    count, cores, lost_connections, migrates
 ):
-    """A twentieth of the connections may cause most of the load, and each counts no more than a light one."""
+    """A twentieth of the connections may cause most of the load, and one of them is as cheap to migrate as a light one."""
     harness = BalancerHarness(
         [entry(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
     )
-    lose_connections(harness, breaks)
+    lose_connections(harness, lost_connections)
     light = [place_with_reported_load(harness, 0.02) for _ in range(4)]
-    heavy, moves = place_with_reported_load(harness, 0.8)
-    assert not any(m for _, m in light)
-    assert [a.request_id for a in [*moves, *harness.tick()] if isinstance(a, Migrate)] == (
-        [heavy.request_id] if leaves else []
+    heavy, actions = place_with_reported_load(harness, 0.8)
+    assert not any(light_actions for _, light_actions in light)
+    assert [action.request_id for action in [*actions, *harness.tick()] if isinstance(action, Migrate)] == (
+        [heavy.request_id] if migrates else []
     )
-    assert not [a for a in harness.tick() if isinstance(a, Migrate)]  # once
+    assert not [action for action in harness.tick() if isinstance(action, Migrate)]  # each is asked once
     harness.end(heavy, Outcome.CANCELLED, finished=True)
-    again, moves = place_with_reported_load(harness, 0.9)
-    assert [a.request_id for a in moves if isinstance(a, Migrate)] == ([again.request_id] if leaves else [])
-    assert not any(isinstance(a, Migrate) for a in place_with_reported_load(harness, 0.01)[1])
-    for send, _ in light:  # loads swing: one that grows heavy leaves too, and one that stays light does not
-        harness.balancer.handle(harness.now, ConnectionLoadReported(send.request_id, send.server, 0.03))
-    assert count <= 2 or not [a for a in harness.tick() if isinstance(a, Migrate)]  # few even out what they see
+    next_heavy, actions = place_with_reported_load(harness, 0.9)
+    assert [action.request_id for action in actions if isinstance(action, Migrate)] == (
+        [next_heavy.request_id] if migrates else []
+    )
+    assert not any(isinstance(action, Migrate) for action in place_with_reported_load(harness, 0.01)[1])
+    # Loads change: a connection that becomes heavy migrates too, and one that stays light does not.
+    for attempt, _ in light:
+        harness.balancer.handle(harness.now, ConnectionLoadReported(attempt.request_id, attempt.server, 0.03))
+    # One or two balancers rebalance the servers that they see.
+    assert count <= 2 or not [action for action in harness.tick() if isinstance(action, Migrate)]
 
 
-@pytest.mark.parametrize("why", ["cold", "draining"])
-@pytest.mark.parametrize(("count", "leaves"), [(1, False), (2, False), (200, True)])
-def test_heaviest_connections_migrate_only_while_the_list_shows_a_capacity_shortage(count, leaves, why):
+@pytest.mark.parametrize("cause", ["warming_up", "draining"])
+@pytest.mark.parametrize(("count", "migrates"), [(1, False), (2, False), (200, True)])
+def test_heaviest_connections_migrate_only_while_the_list_shows_a_capacity_shortage(count, migrates, cause):
     harness = BalancerHarness(large_fleet(60), replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     light, heavy = (
         [place_with_reported_load(harness, 0.02)[0] for _ in range(6)],
         place_with_reported_load(harness, 0.8)[0],
     )
     for _ in range(3):
-        assert not [a for a in harness.tick() if isinstance(a, Migrate)]
-    gone = [
+        assert not [action for action in harness.tick() if isinstance(action, Migrate)]
+    unavailable = [
         entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60) if n not in {heavy.server} and n % 3 == 0
     ]
     harness.update_endpoints(
-        *(gone if why == "draining" else [replace(e, state=ServerState.READY, started_at=harness.now) for e in gone])
+        *(
+            unavailable
+            if cause == "draining"
+            else [replace(endpoint, state=ServerState.READY, started_at=harness.now) for endpoint in unavailable]
+        )
     )
-    moved = {a.request_id for a in harness.tick() if isinstance(a, Migrate)}
-    assert (heavy.request_id in moved) is leaves and not moved & {s.request_id for s in light if s.server % 3}
+    migrated = {action.request_id for action in harness.tick() if isinstance(action, Migrate)}
+    assert (heavy.request_id in migrated) is migrates and not migrated & {
+        attempt.request_id for attempt in light if attempt.server % 3
+    }
     answers = [harness.ask(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
-    stormed = sum(isinstance(a, Reject) and a.reason is RejectReason.RETRY_STORM for a in answers)
-    assert (60 <= stormed <= 150) if leaves else not stormed
-    assert not any(isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50))  # new clients
+    rejected_reconnects = sum(
+        isinstance(action, Reject) and action.reason is RejectReason.RETRY_STORM for action in answers
+    )
+    assert (60 <= rejected_reconnects <= 150) if migrates else not rejected_reconnects
+    assert not any(isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50))  # clients that are new
--- a/tests/test_passive_measurement.py
+++ b/tests/test_passive_measurement.py
@@ -1,4 +1,4 @@
-"""Passive measurement: ratios by the attempts that servers accept, against figures worked out by hand."""
+"""Passive measurement: the ratios that follow from accepted attempts, against figures worked out by hand."""
 
 from __future__ import annotations
 
@@ -11,7 +11,11 @@
 
 
 def ratios(harness: BalancerHarness) -> dict[int, float]:
-    return {s.id: s.ratio + harness.balancer.rotation.raised for s in harness.balancer.servers.values() if s.is_ready}
+    return {
+        server.id: server.ratio + harness.balancer.rotation.raised
+        for server in harness.balancer.servers.values()
+        if server.is_ready
+    }
 
 
 def count_failure(harness: BalancerHarness, server: int, outcome: Outcome = Outcome.REJECTED) -> None:
@@ -28,17 +32,17 @@
     assert ratios(BalancerHarness(4)) == dict.fromkeys((1, 2, 3, 4), 0.25)
 
 
-def test_server_with_the_worst_rejection_ratio_loses_a_tenth_to_the_others():
+def test_server_with_the_worst_rejection_ratio_loses_a_tenth_of_its_ratio_to_the_others():
     harness = BalancerHarness(5)
     count_accepts(harness, 1, 4)
     count_accepts(harness, 2, 3)
     count_failure(harness, 1)  # R = 1/4
     count_failure(harness, 2)  # R = 1/3: the worst
     harness.tick()
-    r = ratios(harness)
-    assert r[2] == pytest.approx(0.2 * (1 - CUT_FRACTION))
-    assert r[1] == r[3] == pytest.approx(0.2 + 0.02 / 4)
-    assert sum(r.values()) == pytest.approx(1.0)
+    ratio_by_server = ratios(harness)
+    assert ratio_by_server[2] == pytest.approx(0.2 * (1 - CUT_FRACTION))
+    assert ratio_by_server[1] == ratio_by_server[3] == pytest.approx(0.2 + 0.02 / 4)
+    assert sum(ratio_by_server.values()) == pytest.approx(1.0)
 
 
 def test_server_that_accepted_no_attempt_ranks_worst():
@@ -46,7 +50,7 @@
     count_accepts(harness, 1)
     for _ in range(9):
         count_failure(harness, 1)  # R = 9
-    count_failure(harness, 2)  # R without bound
+    count_failure(harness, 2)  # R is infinite
     harness.tick()
     assert ratios(harness)[2] < ratios(harness)[1]
 
@@ -58,7 +62,7 @@
     assert ratios(harness) == {n: pytest.approx(1 / 3) for n in (1, 2, 3)}
 
 
-def test_failure_leaves_the_window_after_its_slots():
+def test_failure_is_forgotten_after_all_slots_of_the_window():
     harness = BalancerHarness(2)
     count_failure(harness, 1)
     for _ in range(WINDOW_SLOTS):
--- a/tests/test_slow_responses.py
+++ b/tests/test_slow_responses.py
@@ -35,7 +35,7 @@
     assert detector.record(NOW + REPORT_INTERVAL_SECONDS, SERVER, SLOW) is not None
 
 
-def test_median_keeps_one_late_response_from_counting():
+def test_one_late_response_does_not_change_the_median():
     detector = SlowResponseDetector(SETTINGS)
     detector.record(NOW, SERVER, FAST)
     assert detector.record(NOW + 0.5, SERVER, FAST) is None
@@ -50,7 +50,7 @@
     assert detector.record(NOW + 2.0, SERVER, FAST) is None
 
 
-def test_lag_of_the_event_loop_is_taken_off_and_halves_at_each_call():
+def test_event_loop_lag_is_subtracted_and_halves_at_each_call():
     detector = SlowResponseDetector(SETTINGS)
     detector.record_event_loop_lag(SLOW)
     assert detector.record(NOW, SERVER, SLOW) is None
@@ -58,7 +58,7 @@
     assert detector.record(NOW + 1.0, SERVER, 2 * SLOW) == pytest.approx(1.5 * SLOW)
 
 
-def test_lag_longer_than_the_delay_gives_a_latency_of_zero():
+def test_event_loop_lag_longer_than_the_delay_gives_a_latency_of_zero():
     detector = SlowResponseDetector(SETTINGS)
     detector.record(NOW, SERVER, SLOW)
     detector.record_event_loop_lag(10 * SLOW)
