--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -46,7 +46,7 @@
         if not server.reported.update(report, server.own_load, mean_load, default_capacity):
             return False
         if server.reported.capacity and available_fraction >= 1.0:
-            weight = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
-            state.reported_capacity += (server.reported.capacity - state.reported_capacity) / weight
+            report_count = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
+            state.reported_capacity += (server.reported.capacity - state.reported_capacity) / report_count
         self._accounting.recount(server)
         return True
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -15,7 +15,7 @@
 from aspensaddle.core.slow_responses import SLOW_FRACTION
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
-SLOW_SECONDS = 2.5  # that a mark lasts without a further report; reports come once a second
+SLOW_SECONDS = 2.5  # duration of a mark without a further report; reports come once a second
 ASSUMED_NOT_SLOW_SERVERS = 1  # added to those observed, so that one slow server of few does not weigh too much
 ASSUMED_NOT_SLOW_SERVERS_SPARSE = 4  # added too if the balancer holds few connections
 
@@ -48,7 +48,7 @@
         return is_slow
 
     def clear_stale_marks(self, now: float) -> None:
-        """Unmark servers that hold connections of this balancer but have not reported a latency of late."""
+        """Unmark servers that hold connections of this balancer but have no recent latency report."""
         for server in self._rotation.unsettled.values():
             if server.connections and now > server.latency_reported_at + SLOW_SECONDS:
                 server.slow_until = min(server.slow_until, now)
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -107,10 +107,10 @@
     def _migrate_fraction(self, server: Server, fraction: float) -> list[Migrate]:
         """Migrate a fraction of a server's connections, beginning with those that free the most load."""
         count = int(fraction * len(server.connections) + self._state.random.random()) if fraction > 0 else 0
-        by_load = sorted(
+        by_freed_load = sorted(
             server.connections, key=lambda request_id: self._freed_load(server, request_id), reverse=True
         )
-        return [Migrate(request_id) for request_id in by_load[:count] if self._mark_asked(server, request_id)]
+        return [Migrate(request_id) for request_id in by_freed_load[:count] if self._mark_asked(server, request_id)]
 
     def _freed_load(self, server: Server, request_id: str) -> float:
         """Return the load that a server loses with a connection, including its part of the session group's cost."""
--- a/aspensaddle/core/outlier_ejection.py
+++ b/aspensaddle/core/outlier_ejection.py
@@ -53,7 +53,7 @@
     def attempt_failed(self, now: float, request: RequestState, server: Server, outcome: Outcome) -> None:
         """Count a failed attempt or a lost connection, and eject the server if that is due.
 
-        A timeout does not count as a failure: it may be the fault of what the server depends on.
+        A timeout does not count as a failure: its cause may be a service that the server depends on.
         """
         lost = request.is_established and outcome is Outcome.CONNECTION_LOST
         if lost:
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -132,8 +132,8 @@
     servers: int = 24
     warming_servers: int = 12  # number of the servers that warm up, all started at time 0
     connection_rate: float = 1.5  # new connections per second and server
-    seconds: float = 8.0
-    groups: int = 0
+    seconds: float = 8.0  # simulated time after the start of the servers that warm up
+    groups: int = 0  # number of session groups
     restart_at: float | None = None  # time at which most of the balancers restart, in seconds
     list_delay: float = 2.0  # maximum seconds until a balancer learns of a start
     active_fraction: float = 1.0  # fraction of the balancers that get requests
--- a/tests/test_slow_responses.py
+++ b/tests/test_slow_responses.py
@@ -35,7 +35,7 @@
     assert detector.record(NOW + REPORT_INTERVAL_SECONDS, SERVER, SLOW) is not None
 
 
-def test_one_late_response_does_not_change_the_median():
+def test_one_late_response_does_not_make_a_server_slow():
     detector = SlowResponseDetector(SETTINGS)
     detector.record(NOW, SERVER, FAST)
     assert detector.record(NOW + 0.5, SERVER, FAST) is None
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -238,13 +238,13 @@
     assert not rejected and sent > 0 and not over_budget
 
 
-@pytest.mark.parametrize(("others", "count"), [(3, 1), (3, 40), (0, 1), (0, 40)])
-def test_server_that_restarts_every_second_stays_within_the_limit(others, count):
-    targets = [listed_target(n) for n in range(1 + others)]
+@pytest.mark.parametrize(("warm_servers", "count"), [(3, 1), (3, 40), (0, 1), (0, 40)])
+def test_server_that_restarts_every_second_stays_within_the_limit(warm_servers, count):
+    targets = [listed_target(n) for n in range(1 + warm_servers)]
     rejected, sent, over_budget = simulate_discovery(
         [DiscoveryHarness(targets, count, n) for n in range(count)], {"s-0": NOW}, 40, restarts=True
     )
-    assert not over_budget and (rejected == 0 if others else sent > 0)
+    assert not over_budget and (rejected == 0 if warm_servers else sent > 0)
 
 
 @pytest.mark.parametrize("count", [1, 3, 40, 230])
--- a/tests/test_slow_start_limit.py
+++ b/tests/test_slow_start_limit.py
@@ -24,6 +24,7 @@
 
 
 def exceeds_limit(harness: BalancerHarness, server: int, draw: float) -> tuple[bool, RejectReason]:
+    """Return whether an attempt would exceed the limit, and the reason that the request then holds."""
     request = RequestState(Request("r1", 0, 3.0), deadline=harness.now + 3.0)
     request.slow_start_draw = draw
     state = harness.balancer.state
