--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Hand-made events for a `Balancer`."""
+"""A harness that drives a `Balancer` directly, without front ends, sockets or discovery."""
 
 from __future__ import annotations
 
@@ -33,50 +33,54 @@
 )
 
 
-def entry(n: int, **more: Any) -> Endpoint:
-    return Endpoint(n, **more)
+def make_endpoint(server: int, **fields: Any) -> Endpoint:
+    return Endpoint(server, **fields)
 
 
 class BalancerHarness:
-    """A balancer with a clock and a count of ids."""
+    """A balancer with a clock that the test sets. Its requests are numbered from r1."""
 
     def __init__(self, servers: Any = 4, settings: Settings = SETTINGS, seed: int = 1, now: float = 1000.0):
         self.balancer = Balancer(settings, seed)
         self.now = now
         self.request_count = 0
         self.balancer.handle(now, Started())
-        entries = [entry(n) for n in range(1, servers + 1)] if isinstance(servers, int) else servers
-        self.update_endpoints(*entries, scope=EndpointUpdateScope.CACHED)
+        endpoints = [make_endpoint(n) for n in range(1, servers + 1)] if isinstance(servers, int) else servers
+        self.update_endpoints(*endpoints, scope=EndpointUpdateScope.CACHED)
 
     def update_endpoints(
-        self, *entries: Endpoint, scope: EndpointUpdateScope = EndpointUpdateScope.INCREMENTAL
+        self, *endpoints: Endpoint, scope: EndpointUpdateScope = EndpointUpdateScope.INCREMENTAL
     ) -> list[Action]:
-        return self.balancer.handle(self.now, EndpointsChanged(scope, tuple(entries)))
+        return self.balancer.handle(self.now, EndpointsChanged(scope, tuple(endpoints)))
 
-    def gone(self, n: int, state: ServerState = ServerState.GONE) -> None:
-        self.update_endpoints(entry(n, state=state))
+    def withdraw_server(self, server: int, state: ServerState = ServerState.GONE) -> None:
+        self.update_endpoints(make_endpoint(server, state=state))
 
-    def ask(self, cls: int = 0, left: float = 3.0, **more: Any) -> list[Action]:
+    def submit_request(self, class_index: int = 0, time_left: float = 3.0, **fields: Any) -> list[Action]:
         self.request_count += 1
-        return self.balancer.handle(self.now, Request(f"r{self.request_count}", cls, left, **more))
-
-    def establish(self, send: Action, latency: float = 0.01) -> list[Action]:
-        assert isinstance(send, StartAttempt)
-        n = self.balancer.requests[send.request_id].attempts - 1
-        return self.balancer.handle(self.now, ConnectionEstablished(send.request_id, n, send.server, latency))
-
-    def end(self, send: Action, outcome: Outcome = Outcome.OK, finished: bool = False) -> list[Action]:
-        assert isinstance(send, StartAttempt)
-        n = self.balancer.requests[send.request_id].attempts - 1
-        return self.balancer.handle(self.now, AttemptEnded(send.request_id, n, send.server, outcome, 0.01, finished))
-
-    def place(self, **more: Any) -> StartAttempt:
-        (send,) = self.ask(**more)
-        assert isinstance(send, StartAttempt)
-        self.establish(send)
-        return send
+        return self.balancer.handle(self.now, Request(f"r{self.request_count}", class_index, time_left, **fields))
+
+    def establish(self, attempt: Action, latency: float = 0.01) -> list[Action]:
+        assert isinstance(attempt, StartAttempt)
+        n = self.balancer.requests[attempt.request_id].attempts - 1
+        return self.balancer.handle(self.now, ConnectionEstablished(attempt.request_id, n, attempt.server, latency))
+
+    def end(self, attempt: Action, outcome: Outcome = Outcome.OK, finished: bool = False) -> list[Action]:
+        assert isinstance(attempt, StartAttempt)
+        n = self.balancer.requests[attempt.request_id].attempts - 1
+        return self.balancer.handle(
+            self.now, AttemptEnded(attempt.request_id, n, attempt.server, outcome, 0.01, finished)
+        )
+
+    def place(self, **fields: Any) -> StartAttempt:
+        """Submit a request and establish its connection with the first attempt."""
+        (attempt,) = self.submit_request(**fields)
+        assert isinstance(attempt, StartAttempt)
+        self.establish(attempt)
+        return attempt
 
     def lay_out(self) -> None:
+        """Lay out the weighted rotation by the current loads."""
         self.balancer.rotation.lay_out(self.now, self.balancer.accounting.weigh)
 
     def tick(self, seconds: float = 1.0) -> list[Action]:
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -7,7 +7,7 @@
 from math import sqrt
 from random import Random
 
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import Action, Fail, Reject, StartAttempt
 from aspensaddle.core.events import ConnectionLoadReported, Endpoint, Outcome, ServerLatencyReported
@@ -36,7 +36,7 @@
 
 
 def large_fleet(count: int, weight: float = 2.0, **more: object) -> list[Endpoint]:
-    return [entry(n, weight=weight, **more) for n in range(count)]
+    return [make_endpoint(n, weight=weight, **more) for n in range(count)]
 
 
 def harnesses_in_lock_step(
@@ -48,7 +48,7 @@
 def place_on_each(harnesses: list[BalancerHarness], server: int) -> Iterator[tuple[BalancerHarness, StartAttempt]]:
     """Place one more connection on each balancer; yield those that went to `server`."""
     for harness in harnesses:
-        (send,) = harness.ask(load_hint=LOAD)
+        (send,) = harness.submit_request(load_hint=LOAD)
         if isinstance(send, StartAttempt):
             harness.establish(send)
             if send.server == server:
@@ -83,8 +83,8 @@
     joining server its ages, in seconds, at which it was sent a connection.
     """
     draw, now, servers = Random(count), 1000.0, OLD_SERVER_COUNT + len(JOINING_STARTS)
-    entries = [entry(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
-    entries += [entry(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
+    entries = [make_endpoint(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
+    entries += [make_endpoint(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
     harnesses = [BalancerHarness([e for e in entries if not e.started_at], settings, seed=n) for n in range(count)]
     busy, sizes = [1 / (1 + n) ** 0.5 for n in range(count)], [1 / (1 + g) for g in range(groups)]
     sent: dict[int, list[float]] = {n: [] for n in range(len(JOINING_STARTS))}
@@ -98,7 +98,7 @@
                 *(e for e in entries if t <= e.started_at + 2.0 < t + 0.5)
             )  # the list is 2 s late
         for harness in draw.choices(harnesses, busy, k=int(asked * servers / 2)):
-            (send,) = harness.ask(
+            (send,) = harness.submit_request(
                 load_hint=LOAD, session_group=draw.choices(range(groups), sizes)[0] if groups else None
             )
             if isinstance(send, StartAttempt):
@@ -147,7 +147,7 @@
     settings = replace(
         SETTINGS, balancer_count=f.processes, session_groups=f.groups > 0, rules=f.rules, limits=Limits()
     )
-    known = [entry(n, weight=WEIGHT, started_at=start if n < f.cold else 0.0) for n in range(f.servers)]
+    known = [make_endpoint(n, weight=WEIGHT, started_at=start if n < f.cold else 0.0) for n in range(f.servers)]
     old = known[f.cold :]
 
     def process(n: int, now: float, entries: list) -> BalancerHarness:
@@ -179,7 +179,7 @@
         for n in draw.choices(range(f.processes), busy, k=count):
             harness = harnesses[n]
             group = draw.choices(range(f.groups), sizes)[0] if f.groups else None
-            (send,) = harness.ask(load_hint=LOAD, session_group=group)
+            (send,) = harness.submit_request(load_hint=LOAD, session_group=group)
             if isinstance(send, StartAttempt):
                 harness.establish(send)
                 if send.server in sent:
@@ -226,7 +226,7 @@
 
     def ends(self, draw=None, **more):
         """Send one request, end its attempts as drawn, and return its final action."""
-        (action,) = self.ask(load_hint=LOAD, **more)
+        (action,) = self.submit_request(load_hint=LOAD, **more)
         while isinstance(action, StartAttempt):
             assert self.balancer.servers[action.server].is_ready and action.server in self.fleet.addresses
             if (outcome := draw.choice(list(Outcome)) if draw else Outcome.OK) is Outcome.OK:
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, entry
+from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
 from hypothesis import strategies as st
 
 from aspensaddle.core.actions import Fail, Reject, StartAttempt
@@ -36,7 +36,7 @@
     )
     limits = Limits(max_attempts=4)
     settings = Settings(classes, zone_count=zones, balancer_count=3, rules=SETTINGS.rules, limits=limits)
-    servers = [entry(n, zone=n % zones, cell=n) for n in range(1, 7)]
+    servers = [make_endpoint(n, zone=n % zones, cell=n) for n in range(1, 7)]
     harness = BalancerHarness(servers, settings=settings, seed=seed)
     state = {e.server: e.state for e in servers}
     out: dict[str, StartAttempt] = {}  # attempts that are out
@@ -93,7 +93,7 @@
         pick = list(out)[n % len(out)] if out else None
         if what == "ask":
             asked[f"r{harness.request_count + 1}"] = (n % 3, harness.now + 2.0)
-            carry_out(harness.ask(cls=n % 3, left=2.0, session_group=n % 5 or None))
+            carry_out(harness.submit_request(class_index=n % 3, time_left=2.0, session_group=n % 5 or None))
         elif what == "stand" and pick and pick not in standing:
             standing.add(pick)
             send = out[pick]
@@ -107,7 +107,9 @@
         elif what == "state":
             server = 1 + n % 6
             state[server] = list(ServerState)[n % 3]
-            carry_out(harness.update_endpoints(entry(server, zone=server % zones, cell=server, state=state[server])))
+            carry_out(
+                harness.update_endpoints(make_endpoint(server, zone=server % zones, cell=server, state=state[server]))
+            )
         elif what == "full":
             named = [e for e in servers if n >> e.server & 1]
             state = {e.server: ServerState.READY if e in named else ServerState.GONE for e in servers}
--- a/tests/test_admission_of_requests.py
+++ b/tests/test_admission_of_requests.py
@@ -31,7 +31,7 @@
         for server in range(1, slow + 1):
             harness.balancer.handle(harness.now, ServerLatencyReported(sends[server].request_id, server, 0.02))
         harness.tick()
-        answers = [harness.ask()[0] for _ in range(60)]
+        answers = [harness.submit_request()[0] for _ in range(60)]
         assert abs(sum(isinstance(a, Reject) for a in answers) - refused) <= 12
         assert {a.reason for a in answers if isinstance(a, Reject)} <= {RejectReason.OVERLOAD}
 
@@ -42,8 +42,8 @@
     for server in (1, 2):  # of 11 + 1, a sixth
         harness.balancer.handle(harness.now, ServerLatencyReported(sends[server].request_id, server, 0.02))
     harness.tick()
-    assert {harness.ask(tenant=0)[0].reason for _ in range(20)} == {RejectReason.OVER_QUOTA}
-    assert all(isinstance(harness.ask(tenant=-1)[0], StartAttempt) for _ in range(20))
+    assert {harness.submit_request(tenant=0)[0].reason for _ in range(20)} == {RejectReason.OVER_QUOTA}
+    assert all(isinstance(harness.submit_request(tenant=-1)[0], StartAttempt) for _ in range(20))
 
 
 @pytest.mark.parametrize(("count", "waits"), [(1, False), (2, False), (40, True), (HUNDREDS_OF_BALANCERS, True)])
@@ -53,7 +53,7 @@
     harness = BalancerHarness(LARGE_SERVER_COUNT, replace(SETTINGS, balancer_count=count))
 
     def refused(returning: bool) -> int:
-        answers = [harness.ask(load_hint=LOAD, reconnecting=returning)[0] for _ in range(100)]
+        answers = [harness.submit_request(load_hint=LOAD, reconnecting=returning)[0] for _ in range(100)]
         assert all(0 < a.retry_after <= SETTINGS.limits.max_retry_after for a in answers if isinstance(a, Reject))
         assert {a.reason for a in answers if isinstance(a, Reject)} <= {RejectReason.RETRY_STORM}
         return sum(isinstance(a, Reject) for a in answers)
@@ -73,8 +73,10 @@
     for n in harness.balancer.servers:
         report_load(harness, n, (MAX_UTILIZATION_OVER_QUOTA + MAX_UTILIZATION) / 2)
     harness.tick()
-    assert [type(harness.ask(load_hint=0.001, tenant=0)[0]) for _ in range(30)].count(StartAttempt) < 6
-    assert all(isinstance(harness.ask(load_hint=0.001, tenant=t)[0], StartAttempt) for t in (1, 2, -1, 10**6))
+    assert [type(harness.submit_request(load_hint=0.001, tenant=0)[0]) for _ in range(30)].count(StartAttempt) < 6
+    assert all(
+        isinstance(harness.submit_request(load_hint=0.001, tenant=t)[0], StartAttempt) for t in (1, 2, -1, 10**6)
+    )
 
 
 DRAWS = 2000
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import (
     HUNDREDS_OF_BALANCERS,
     LARGE_SERVER_COUNT,
@@ -101,9 +101,9 @@
 def test_clients_of_a_group_follow_the_server_weight_and_skip_servers_that_are_not_ready():
     entries = [
         *large_fleet(20),
-        *(entry(n, weight=4.0) for n in range(20, 30)),
-        entry(30, weight=0.0),
-        entry(31, weight=2.0, state=ServerState.DRAINING),
+        *(make_endpoint(n, weight=4.0) for n in range(20, 30)),
+        make_endpoint(30, weight=0.0),
+        make_endpoint(31, weight=2.0, state=ServerState.DRAINING),
     ]
     homes = preferred_order(5, server_records(entries))
     first = Counter(rendezvous_order(client, homes)[0].id for client in range(3000))
@@ -131,7 +131,9 @@
     before = placed(harnesses)
     again = placed([BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=1000 + n) for n in range(200)])
     assert len(before) <= 150 and len(before | again) <= 1.5 * len(before)
-    warm = [e for e in entries if e.server % 2] + [entry(100 + n, weight=2.0, started_at=900.0) for n in range(30)]
+    warm = [e for e in entries if e.server % 2] + [
+        make_endpoint(100 + n, weight=2.0, started_at=900.0) for n in range(30)
+    ]
     later = placed([BalancerHarness(warm, SESSION_GROUP_SETTINGS, seed=2000 + n) for n in range(200)])
     kept = {p for p in again if p[1] % 2}
     assert len(later) <= 150 and len(kept & later) >= 0.6 * len(kept)
@@ -139,11 +141,11 @@
 
 def test_reconnecting_client_waits_while_its_preferred_server_warms_up():
     """Otherwise the load that warming servers cannot take yet would overload the warm ones."""
-    entries = [entry(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
+    entries = [make_endpoint(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
 
     def answers(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
         got = [
-            harness.ask(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
+            harness.submit_request(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
             for n in range(1, 11)
             for _ in range(10)
             if not harness.balancer.requests.clear()
@@ -169,9 +171,11 @@
 
 def test_single_client_groups_and_requests_without_a_key_are_placed():
     harness = BalancerHarness(large_fleet(60), SESSION_GROUP_SETTINGS)
-    assert all(isinstance(harness.ask(session_group=n, load_hint=0.01)[0], StartAttempt) for n in range(300))
+    assert all(
+        isinstance(harness.submit_request(session_group=n, load_hint=0.01)[0], StartAttempt) for n in range(300)
+    )
     assert (
-        len({harness.ask(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
+        len({harness.submit_request(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
     )  # without keys by chance
 
 
@@ -182,10 +186,12 @@
     harness = BalancerHarness(large_fleet(20), replace(SESSION_GROUP_SETTINGS, rules=rules))
     for n in range(12):
         place_with_reported_load(harness, load)
-        harness.update_endpoints(entry(n, weight=0.0), entry(19 - n % 4, weight=2.0, started_at=harness.now))
+        harness.update_endpoints(
+            make_endpoint(n, weight=0.0), make_endpoint(19 - n % 4, weight=2.0, started_at=harness.now)
+        )
         harness.tick()
         got = [
-            harness.ask(affinity_key=k, session_group=k % 7, load_hint=load, reconnecting=k % 2 == 0)[0]
+            harness.submit_request(affinity_key=k, session_group=k % 7, load_hint=load, reconnecting=k % 2 == 0)[0]
             for k in range(1, 30)
         ]
         assert not {a.server for a in got if isinstance(a, StartAttempt)} & set(range(n + 1)) and got
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,7 +7,7 @@
 
 import hypothesis
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, entry
+from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
@@ -59,7 +59,8 @@
     classes = (replace(SETTINGS.classes[0], message_latency_objective=0.0),)
     rules = replace(SETTINGS.rules, slow_start_duration=0.0, poll_interval=0.0)
     harness = BalancerHarness(
-        [entry(1, started_at=2000.0), entry(2, weight=0.0)], settings=replace(SETTINGS, classes=classes, rules=rules)
+        [make_endpoint(1, started_at=2000.0), make_endpoint(2, weight=0.0)],
+        settings=replace(SETTINGS, classes=classes, rules=rules),
     )
     send = harness.place()
     harness.balancer.handle(harness.now, ServerLatencyReported(send.request_id, send.server, 0.0))
@@ -80,20 +81,22 @@
 def test_extreme_slow_start_settings_leave_every_request_answered(rules, weight):
     """Also without load reports, with all servers warming up, and with settings that make warm servers warm up again."""
     harness = BalancerHarness(
-        [entry(n, weight=weight, started_at=1000.0) for n in range(3)],
+        [make_endpoint(n, weight=weight, started_at=1000.0) for n in range(3)],
         replace(SETTINGS, balancer_count=HUNDREDS_OF_BALANCERS),
     )
     for settings in (replace(SETTINGS, rules=rules), SETTINGS):
         for group in (None, 1):
-            (action,) = harness.ask(session_group=group)
+            (action,) = harness.submit_request(session_group=group)
             assert isinstance(action, Reject | StartAttempt)
             harness.tick()
         harness.balancer.configure(settings)
 
 
-@pytest.mark.parametrize("servers", [0, [entry(1, state=ServerState.DRAINING)], [entry(1, state=GONE)]])
+@pytest.mark.parametrize(
+    "servers", [0, [make_endpoint(1, state=ServerState.DRAINING)], [make_endpoint(1, state=GONE)]]
+)
 def test_request_is_rejected_at_once_without_a_ready_server(servers):
-    (answer,) = BalancerHarness(servers).ask()
+    (answer,) = BalancerHarness(servers).submit_request()
     assert isinstance(answer, Reject) and answer.reason is RejectReason.NO_AVAILABLE_SERVER
 
 
@@ -124,7 +127,8 @@
     carries no more for its size than under random placement."""
     kinds, servers, draw = len(settings.machine_types), 8, Random(seed)
     entries = [
-        entry(n, zone=n % settings.zone_count, machine_type=n % kinds if kinds else -1) for n in range(servers)
+        make_endpoint(n, zone=n % settings.zone_count, machine_type=n % kinds if kinds else -1)
+        for n in range(servers)
     ]
     harnesses = [
         BalancerHarness(entries, replace(settings, balancer_index=i), seed=i)
@@ -136,9 +140,9 @@
         harness = harnesses[step % len(harnesses)]
         if step == 120:
             for other in harnesses:
-                other.gone(0, ServerState.DRAINING)
-        (answer,) = harness.ask(
-            cls=draw.randrange(len(settings.classes)),
+                other.withdraw_server(0, ServerState.DRAINING)
+        (answer,) = harness.submit_request(
+            class_index=draw.randrange(len(settings.classes)),
             tenant=draw.randrange(-1, 45),
             session_group=draw.randrange(12) if settings.session_groups else None,
         )
@@ -191,6 +195,6 @@
         )
         assert isinstance((ends := [harness.ends(session_group=seed)])[0], StartAttempt)  # one warm server is enough
         for n in range(40):
-            ends.append(harness.ends(draw, cls=n % len(classes), session_group=n % 5))
+            ends.append(harness.ends(draw, class_index=n % len(classes), session_group=n % 5))
             harness.tick(0.1)
         assert len(harness.balancer.requests) == sum(isinstance(end, StartAttempt) for end in ends) > 1
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 import trio.testing
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from test_discovery_freshness import HEAD, Told, chunk, listed
 
 from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
@@ -194,7 +194,7 @@
 
 
 def confirmed_harness(servers=3):
-    harness = BalancerHarness([entry(n) for n in range(1, servers + 1)], GRACE)
+    harness = BalancerHarness([make_endpoint(n) for n in range(1, servers + 1)], GRACE)
     harness.balancer.handle(harness.now, EndpointListConfirmed())
     return harness
 
@@ -203,12 +203,12 @@
     """Guards against attempts at a server that drains and whose state could not be learned for more than 6 s."""
     harness = confirmed_harness()
     harness.now += CERTAIN_SECONDS - 0.01
-    assert isinstance(harness.ask()[0], StartAttempt)
+    assert isinstance(harness.submit_request()[0], StartAttempt)
     harness.now += 0.02
-    (answer,) = harness.ask()
+    (answer,) = harness.submit_request()
     assert isinstance(answer, Reject) and answer.reason is RejectReason.ENDPOINTS_UNCONFIRMED
     harness.balancer.handle(harness.now, EndpointListConfirmed())
-    assert isinstance(harness.ask()[0], StartAttempt)
+    assert isinstance(harness.submit_request()[0], StartAttempt)
 
 
 def test_a_server_that_accepts_attempts_stays_in_use_without_the_list():
@@ -221,23 +221,23 @@
         assert harness.place().server == accepted
         harness.now += 5.0
     harness.now += CERTAIN_SECONDS
-    assert isinstance(harness.ask()[0], Reject)
+    assert isinstance(harness.submit_request()[0], Reject)
 
 
 def test_a_server_that_rejects_is_not_confirmed_by_it():
     harness = confirmed_harness(servers=1)
     harness.now += 5.0
-    (send,) = harness.ask()
+    (send,) = harness.submit_request()
     harness.end(send, Outcome.REJECTED)
     harness.now += CERTAIN_SECONDS - 4.9
-    assert isinstance(harness.ask()[0], Reject)
+    assert isinstance(harness.submit_request()[0], Reject)
 
 
 def test_without_a_watch_of_its_own_a_balancer_uses_the_list_that_it_is_given():
     """In the simulator, with a list of the configuration, and with pushed lists."""
-    harness = BalancerHarness([entry(1)], GRACE)
+    harness = BalancerHarness([make_endpoint(1)], GRACE)
     harness.now += 1000.0
-    assert isinstance(harness.ask()[0], StartAttempt)
+    assert isinstance(harness.submit_request()[0], StartAttempt)
 
 
 def test_the_last_check_before_the_first_byte_asks_for_the_confirmation_too():
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, entry
+from helpers import SETTINGS, make_endpoint
 
 from aspensaddle.core.actions import Fail, Migrate, Reject, RejectReason, StartAttempt
 from aspensaddle.core.driver import Driver
@@ -54,7 +54,7 @@
     def __init__(self, servers=2, settings=SETTINGS):
         self.time, self.services = 1e9, Services()
         self.driver = Driver(settings, 1, self.services, lambda: self.time)
-        self.driver.start(entry(n) for n in range(1, servers + 1))
+        self.driver.start(make_endpoint(n) for n in range(1, servers + 1))
         self.events = []
         handle = self.driver.balancer.handle
         self.driver.balancer.handle = lambda now, e: (self.events.append((now, e)), handle(now, e))[1]
@@ -89,11 +89,11 @@
     w = World()
     server = w.ask().actions[0].server
     assert w.driver.may_start_attempt("r")
-    w.driver.update_endpoints(EndpointUpdateScope.INCREMENTAL, (entry(server, state=ServerState.DRAINING),))
+    w.driver.update_endpoints(EndpointUpdateScope.INCREMENTAL, (make_endpoint(server, state=ServerState.DRAINING),))
     assert not w.driver.may_start_attempt("r")
-    w.driver.update_endpoints(EndpointUpdateScope.COMPLETE, (entry(server),))
+    w.driver.update_endpoints(EndpointUpdateScope.COMPLETE, (make_endpoint(server),))
     assert w.driver.may_start_attempt("r")
-    w.driver.update_endpoints(EndpointUpdateScope.COMPLETE, (entry(3 - server),))
+    w.driver.update_endpoints(EndpointUpdateScope.COMPLETE, (make_endpoint(3 - server),))
     assert not w.driver.may_start_attempt("r")
 
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from load_report_harness import HEALTH_CHECK_SETTINGS, harness_with_reports
 
 from aspensaddle.core.actions import CheckHealth
@@ -37,7 +37,7 @@
 
 def test_only_ready_servers_are_checked_and_new_ones_at_once():
     harness = harness_with_reports()
-    harness.gone(1, ServerState.DRAINING)
-    assert [a.server for a in harness.update_endpoints(entry(9)) if isinstance(a, CheckHealth)] == [9]
+    harness.withdraw_server(1, ServerState.DRAINING)
+    assert [a.server for a in harness.update_endpoints(make_endpoint(9)) if isinstance(a, CheckHealth)] == [9]
     harness.now += 60
     assert {a.server for a in harness.tick() if isinstance(a, CheckHealth)} == {2, 3, 4, 9}
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 
 import aspensaddle.core
 from aspensaddle.core.events import ServerState
@@ -118,7 +118,7 @@
         cost[servers] = [
             lines_run(partial(harness.place, load_hint=0.05, session_group=group)),
             lines_run(harness.tick),
-            lines_run(partial(harness.update_endpoints, entry(1, state=ServerState.DRAINING))),
+            lines_run(partial(harness.update_endpoints, make_endpoint(1, state=ServerState.DRAINING))),
         ]
     request, tick, change = zip(cost[10], cost[1000], strict=True)
     assert request[1] <= growth * request[0]
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -43,7 +43,7 @@
         harness.balancer.handle(harness.now, ServerLatencyReported(s.request_id, s.server, 0.06))
         harness.end(s, Outcome.CONNECTION_LOST, finished=True)
     harness.tick()
-    assert isinstance(harness.ask()[0], Reject)
+    assert isinstance(harness.submit_request()[0], Reject)
 
 
 @pytest.mark.parametrize("count", [2, MANY_BALANCERS])
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -28,7 +28,7 @@
     harness = harness_with_reports()
     for n in harness.balancer.servers:
         assert not [a for a in report_load(harness, n, MAX_UTILIZATION + 0.05) if isinstance(a, Migrate)]
-    (answer,) = harness.ask(load_hint=0.02)
+    (answer,) = harness.submit_request(load_hint=0.02)
     assert isinstance(answer, Reject) and answer.retry_after > 0
     moved = [a for a in report_load(harness, 2, 2 * MIGRATION_UTILIZATION) if isinstance(a, Migrate)]
     assert 2 <= len(moved) <= 3  # half of five
@@ -67,7 +67,7 @@
     harness = harness_with_reports()
     for x0, held in ((0.0, 0.0), (0.0, 50.0), (5.0, 0.0), (999.0, 1e8), (1e-9, 1e8)):
         report_load(harness, 1, x0, held)
-        (answer,) = harness.ask(load_hint=0.02)
+        (answer,) = harness.submit_request(load_hint=0.02)
         assert isinstance(answer, StartAttempt | Reject)
         harness.tick()
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import LOAD, MANY_BALANCERS, MANY_BALANCERS_SETTINGS, SERVER_COUNT
 
 from aspensaddle.core.balancer_state import BalancerState
 from aspensaddle.core.locality import MAX_LOCAL_LOAD_PER_CORE, MAX_LOCAL_LOAD_RATIO, prefers_local_zone
 
-TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
+TWO_ZONES = [make_endpoint(n, zone=n % 2) for n in range(10)]
 
 
 def test_local_zone_is_preferred_within_a_bound():
@@ -20,7 +20,7 @@
 
 
 def test_small_local_zone_is_not_overloaded_by_its_own_clients():
-    servers = [entry(0, zone=0)] + [entry(n, zone=1) for n in range(1, 10)]
+    servers = [make_endpoint(0, zone=0)] + [make_endpoint(n, zone=1) for n in range(1, 10)]
     harness = BalancerHarness(servers, settings=replace(SETTINGS, zone_count=2))
     here = sum(harness.place().server == 0 for _ in range(40))
     assert 8 <= here <= 12  # 1.25 x 2 zones x a tenth of the share
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(("count", "local"), [(2, True), (MANY_BALANCERS, False)])
 def test_local_zone_is_preferred_by_the_estimated_load_of_all_balancers(count, local):
     """One of forty balancers sees a fortieth of the load of its zone."""
-    servers = [entry(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
+    servers = [make_endpoint(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
     harness = BalancerHarness(servers, replace(MANY_BALANCERS_SETTINGS, balancer_count=count, zone_count=2, zone=0))
     zones = [harness.balancer.servers[harness.place(load_hint=LOAD).server].zone for _ in range(16)]
     assert (set(zones) == {0}) is local
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, listed_target
 
 from aspensaddle.core.actions import Reject, SetTimer, StartAttempt, WatchEndpoints
@@ -18,7 +18,7 @@
 
 def test_complete_list_removes_servers_that_it_does_not_name():
     harness = BalancerHarness(3)
-    harness.update_endpoints(entry(1), entry(2), scope=EndpointUpdateScope.COMPLETE)
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2), scope=EndpointUpdateScope.COMPLETE)
     assert {harness.place().server for _ in range(6)} == {1, 2}
 
 
@@ -40,8 +40,8 @@
     """The records do not grow with every server that was ever listed."""
     harness = BalancerHarness(3)
     sends = [harness.place() for _ in range(6)]
-    harness.gone(1)
-    harness.update_endpoints(entry(2), scope=EndpointUpdateScope.COMPLETE)
+    harness.withdraw_server(1)
+    harness.update_endpoints(make_endpoint(2), scope=EndpointUpdateScope.COMPLETE)
     assert list(harness.balancer.servers) == [2]
     for s in sends:
         harness.end(s, Outcome.CONNECTION_LOST, finished=True)
@@ -54,12 +54,12 @@
     """Guards against a server that looks empty when it returns, since the connections that it holds were forgotten."""
     harness = BalancerHarness(8)
     sends = [harness.place() for _ in range(80)]
-    servers = [entry(n) for n in range(1, 9)]
+    servers = [make_endpoint(n) for n in range(1, 9)]
     for with_first in (False, True):
         if scope is EndpointUpdateScope.COMPLETE:
             harness.update_endpoints(*servers[not with_first :], scope=scope)
         else:
-            harness.update_endpoints(entry(1, state=ServerState.READY if with_first else ServerState.GONE))
+            harness.update_endpoints(make_endpoint(1, state=ServerState.READY if with_first else ServerState.GONE))
         harness.tick()
     later = [harness.place() for _ in range(24)]
     held = Counter(send.server for send in sends + later)
@@ -75,7 +75,7 @@
     """Guards against a total load that falls below what the listed servers carry."""
     harness = BalancerHarness(4)
     sends = [harness.place() for _ in range(40)]
-    harness.gone(1)
+    harness.withdraw_server(1)
     harness.tick()
     for send in sends:
         if send.server == 1:
@@ -88,9 +88,9 @@
 def test_every_request_is_answered_while_lists_empty_shrink_grow_and_repeat(count):
     settings = replace(SETTINGS, balancer_count=count)
     harness = BalancerHarness(SERVER_COUNT, settings)
-    old = [entry(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
-    anew = [entry(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
-    leaving = [entry(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
+    old = [make_endpoint(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
+    anew = [make_endpoint(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
+    leaving = [make_endpoint(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
     for scope, entries, sends in (
         (EndpointUpdateScope.COMPLETE, [], False),
         (EndpointUpdateScope.COMPLETE, old, True),
@@ -103,7 +103,7 @@
     ):
         harness.update_endpoints(*entries, scope=scope)
         for _ in range(3):
-            (action,) = harness.ask(load_hint=LOAD)
+            (action,) = harness.submit_request(load_hint=LOAD)
             if isinstance(action, StartAttempt):
                 assert action.server in harness.balancer.servers
                 harness.establish(action)
@@ -114,14 +114,14 @@
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_draining_or_gone_server_gets_no_attempt(state):
     harness = BalancerHarness(3)
-    harness.gone(2, state)
+    harness.withdraw_server(2, state)
     assert all(harness.place(session_group=g).server != 2 for g in range(30))
 
 
 def test_server_that_returns_to_the_list_is_used_again():
     harness = BalancerHarness(2)
-    harness.gone(2)
-    harness.update_endpoints(entry(2))
+    harness.withdraw_server(2)
+    harness.update_endpoints(make_endpoint(2))
     assert {harness.place().server for _ in range(6)} == {1, 2}
 
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import (
     HUNDREDS_OF_BALANCERS,
     LARGE_SERVER_COUNT,
@@ -132,7 +132,7 @@
 ):
     """A twentieth of the connections may cause most of the load, and each counts no more than a light one."""
     harness = BalancerHarness(
-        [entry(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
+        [make_endpoint(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
     )
     lose_connections(harness, breaks)
     light = [place_with_reported_load(harness, 0.02) for _ in range(4)]
@@ -162,14 +162,16 @@
     for _ in range(3):
         assert not [a for a in harness.tick() if isinstance(a, Migrate)]
     gone = [
-        entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60) if n not in {heavy.server} and n % 3 == 0
+        make_endpoint(n, weight=2.0, state=ServerState.DRAINING)
+        for n in range(60)
+        if n not in {heavy.server} and n % 3 == 0
     ]
     harness.update_endpoints(
         *(gone if why == "draining" else [replace(e, state=ServerState.READY, started_at=harness.now) for e in gone])
     )
     moved = {a.request_id for a in harness.tick() if isinstance(a, Migrate)}
     assert (heavy.request_id in moved) is leaves and not moved & {s.request_id for s in light if s.server % 3}
-    answers = [harness.ask(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
+    answers = [harness.submit_request(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
     stormed = sum(isinstance(a, Reject) and a.reason is RejectReason.RETRY_STORM for a in answers)
     assert (60 <= stormed <= 150) if leaves else not stormed
-    assert not any(isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50))  # new clients
+    assert not any(isinstance(harness.submit_request(load_hint=0.02)[0], Reject) for _ in range(50))  # new clients
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import BalancerHarness, entry
+from helpers import BalancerHarness, make_endpoint
 from lock_step import SESSION_GROUP_SETTINGS, large_fleet
 
 from aspensaddle.core.actions import StartAttempt
@@ -15,12 +15,12 @@
 
 def test_unreachable_server_is_ejected_and_gets_one_half_open_attempt():
     harness = BalancerHarness(3)
-    (send,) = harness.ask()
+    (send,) = harness.submit_request()
     harness.end(send, Outcome.UNREACHABLE)
     assert all(harness.place().server != send.server for _ in range(9))
     harness.now += 2.0
     harness.tick(0.0)
-    trials = [a for a in (harness.ask()[0] for _ in range(9)) if a.server == send.server]
+    trials = [a for a in (harness.submit_request()[0] for _ in range(9)) if a.server == send.server]
     assert len(trials) == 1
     harness.end(trials[0], Outcome.UNREACHABLE)
     assert harness.balancer.servers[send.server].ejected_until > harness.now + 1.4  # backed off
@@ -28,7 +28,7 @@
 
 def test_accepted_half_open_attempt_ends_the_ejection():
     harness = BalancerHarness(2)
-    (send,) = harness.ask()
+    (send,) = harness.submit_request()
     harness.end(send, Outcome.UNREACHABLE)
     harness.now += 2.0
     harness.tick(0.0)
@@ -74,7 +74,7 @@
     harness = BalancerHarness(4)
     hits = 0
     for _ in range(40):
-        (a,) = harness.ask()
+        (a,) = harness.submit_request()
         while a.server == 1:
             hits += 1
             (a,) = harness.end(a, Outcome.ERROR)
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize(("count", "shunned"), [(2, False), (200, True)])
 def test_server_that_lost_a_connection_is_avoided_by_its_groups_for_a_while(count, shunned):
     """The server needs time to recover; otherwise all clients that it lost would reconnect to it."""
-    leaving = [entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
+    leaving = [make_endpoint(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
     harness = BalancerHarness([*large_fleet(60), *leaving], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     first = harness.place(affinity_key=7, session_group=3)
     harness.tick(3.0)
@@ -103,7 +103,7 @@
     """The servers of one request for each affinity key. Each request ends at once and leaves no load."""
     chosen = set()
     for key in keys:
-        (attempt,) = harness.ask(affinity_key=key, session_group=group)
+        (attempt,) = harness.submit_request(affinity_key=key, session_group=group)
         assert isinstance(attempt, StartAttempt)
         chosen.add(attempt.server)
         harness.balancer.handle(harness.now, ClientDisconnected(attempt.request_id))
@@ -112,7 +112,7 @@
 
 def harness_with_lost_connection(draining_servers: int) -> tuple[BalancerHarness, int]:
     """A harness whose first connection of group 3 was lost just now, and the server that lost it."""
-    draining = [entry(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
+    draining = [make_endpoint(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
     harness = BalancerHarness([*large_fleet(60), *draining], SESSION_GROUP_SETTINGS)
     connection = harness.place(affinity_key=7, session_group=3)
     harness.tick(3.0)  # it held, so that its loss is no failed attempt
--- a/tests/test_passive_measurement.py
+++ b/tests/test_passive_measurement.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import BalancerHarness, entry
+from helpers import BalancerHarness, make_endpoint
 
 from aspensaddle.core.attempt_window import WINDOW_SLOTS
 from aspensaddle.core.events import Outcome, ServerState
@@ -72,8 +72,8 @@
 
 def test_joining_servers_enter_at_the_mean_ratio_and_leaving_ones_rescale_it():
     harness = BalancerHarness(2)
-    harness.update_endpoints(entry(3), entry(4))
+    harness.update_endpoints(make_endpoint(3), make_endpoint(4))
     assert ratios(harness) == {n: pytest.approx(0.25) for n in (1, 2, 3, 4)}
-    harness.gone(4)
-    harness.update_endpoints(entry(3, state=ServerState.DRAINING))
+    harness.withdraw_server(4)
+    harness.update_endpoints(make_endpoint(3, state=ServerState.DRAINING))
     assert ratios(harness) == {1: pytest.approx(0.5), 2: pytest.approx(0.5)}
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, entry
+from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import Fail, Reject, RejectReason, StartAttempt
 from aspensaddle.core.events import Outcome, Request
@@ -17,8 +17,8 @@
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 
-def two_attempts(harness: BalancerHarness, cls: int, outcome: Outcome):
-    (send,) = harness.ask(cls=cls)
+def two_attempts(harness: BalancerHarness, class_index: int, outcome: Outcome):
+    (send,) = harness.submit_request(class_index=class_index)
     (answer,) = harness.end(send, outcome)
     return send, answer
 
@@ -26,7 +26,7 @@
 def test_attempts_are_bounded_where_every_server_rejects():
     harness = BalancerHarness(30)
     for _ in range(100):
-        (a,) = harness.ask()
+        (a,) = harness.submit_request()
         sends = 0
         while isinstance(a, StartAttempt):
             sends += 1
@@ -36,13 +36,13 @@
 
 def test_attempt_timeout_is_the_time_left_of_the_client():
     harness = BalancerHarness(1)
-    (send,) = harness.ask(left=1.2)
+    (send,) = harness.submit_request(time_left=1.2)
     assert send.timeout == pytest.approx(1.2)
 
 
 def test_no_retry_after_the_deadline():
     harness = BalancerHarness(3)
-    (send,) = harness.ask(left=1.0)
+    (send,) = harness.submit_request(time_left=1.0)
     harness.now += 1.0
     (answer,) = harness.end(send, Outcome.TIMED_OUT)
     assert isinstance(answer, (Fail, Reject))
@@ -51,7 +51,7 @@
 
 def test_single_server_that_rejects_ends_in_a_rejection():
     harness = BalancerHarness(1)
-    (action,) = harness.ask()
+    (action,) = harness.submit_request()
     sends = 1
     while isinstance(action, StartAttempt):
         (action,) = harness.end(action, Outcome.REJECTED)
@@ -62,7 +62,7 @@
 
 def test_no_more_attempts_than_allowed():
     harness = BalancerHarness(8, settings=replace(SETTINGS, limits=Limits(max_attempts=3)))
-    (action,) = harness.ask()
+    (action,) = harness.submit_request()
     for _ in range(2):
         (action,) = harness.end(action, Outcome.UNREACHABLE)
         assert isinstance(action, StartAttempt)
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("group", list(DeduplicationScope))
 def test_keyed_retry_stays_in_the_deduplication_scope_of_the_first_server(group):
     classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
-    servers = [entry(n, zone=n % 2, cell=n % 4) for n in range(8)]
+    servers = [make_endpoint(n, zone=n % 2, cell=n % 4) for n in range(8)]
     for seed in range(10):
         harness = BalancerHarness(servers, settings=replace(SETTINGS, classes=classes, zone_count=2), seed=seed)
         send, again = two_attempts(harness, KEYED, Outcome.TIMED_OUT)
@@ -108,7 +108,7 @@
         ),
     )
     harness = BalancerHarness(4, settings=replace(SETTINGS, classes=classes))
-    (send,) = harness.ask(cls=KEYED)
+    (send,) = harness.submit_request(class_index=KEYED)
     harness.now += 0.5
     (answer,) = harness.end(send, Outcome.CONNECTION_LOST)
     assert isinstance(answer, Fail)
@@ -126,10 +126,10 @@
         assert isinstance(answer, final)
 
 
-FIRST_SERVER = Server(entry(1, zone=0, cell=0), 0.0)
-SAME_CELL = Server(entry(2, zone=0, cell=0), 0.0)
-SAME_ZONE = Server(entry(3, zone=0, cell=1), 0.0)
-OTHER_ZONE = Server(entry(4, zone=1, cell=2), 0.0)
+FIRST_SERVER = Server(make_endpoint(1, zone=0, cell=0), 0.0)
+SAME_CELL = Server(make_endpoint(2, zone=0, cell=0), 0.0)
+SAME_ZONE = Server(make_endpoint(3, zone=0, cell=1), 0.0)
+OTHER_ZONE = Server(make_endpoint(4, zone=1, cell=2), 0.0)
 
 
 def possibly_executed_request(executed_at: float = 0.0) -> RequestState:
--- a/tests/test_server_pool.py
+++ b/tests/test_server_pool.py
@@ -1,14 +1,14 @@
 """Server pool: the sums over the available servers."""
 
 import pytest
-from helpers import entry
+from helpers import make_endpoint
 
 from aspensaddle.core.server_pool import ServerPool
 from aspensaddle.core.server_state import Server
 
 
 def server_with(number: int, share: float, load: float) -> Server:
-    server = Server(entry(number), 0.0)
+    server = Server(make_endpoint(number), 0.0)
     server.share = share
     server.load = load
     return server
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, entry
+from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.events import Outcome, Request
 from aspensaddle.core.request_state import RequestState
@@ -41,7 +41,9 @@
 def test_server_outside_the_deduplication_scope_may_not_be_attempted():
     keyed = replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ZONE)
     settings: Settings = replace(SETTINGS, classes=(keyed,), zone_count=2)
-    harness = BalancerHarness([entry(1, zone=0), entry(2, zone=0), entry(3, zone=1)], settings)
+    harness = BalancerHarness(
+        [make_endpoint(1, zone=0), make_endpoint(2, zone=0), make_endpoint(3, zone=1)], settings
+    )
     request = request_of_class()
     request.possibly_executed_on = harness.balancer.servers[1]
     request.possibly_executed_at = harness.now
@@ -50,7 +52,7 @@
 
 def test_retry_goes_to_a_server_that_was_not_tried_while_there_is_one():
     harness = BalancerHarness(4)
-    (attempt,) = harness.ask()
+    (attempt,) = harness.submit_request()
     tried = [attempt.server]
     for _ in range(3):
         (attempt,) = harness.end(attempt, Outcome.REJECTED)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from load_report_harness import HEALTH_CHECK_SETTINGS, report_load
 from lock_step import (
     BALANCER_COUNTS,
@@ -39,7 +39,7 @@
 def test_warming_server_is_filled_by_many_balancers_within_its_limit():
     """Each of forty balancers carries little, so that its own load says little of the capacity of a server."""
     rules, now, cores = SETTINGS.rules, 1000.0, 2.0
-    servers = [entry(n, weight=cores, started_at=now if n == 1 else 0.0) for n in range(1, SERVER_COUNT + 1)]
+    servers = [make_endpoint(n, weight=cores, started_at=now if n == 1 else 0.0) for n in range(1, SERVER_COUNT + 1)]
     harnesses, sent = harnesses_in_lock_step(servers), 0.0
     for second in range(int(rules.slow_start_duration)):
         sent += LOAD * len(list(place_on_each(harnesses[:8], 1)))  # a few of them at a time, as clients come
@@ -125,15 +125,17 @@
 
 
 def test_rejection_names_the_slow_start_limit_only_where_it_is_the_cause():
-    harness = BalancerHarness([entry(1, started_at=1000.0)], replace(SETTINGS, balancer_count=200, rules=RULES))
-    assert {a.reason for a in (harness.ask()[0] for _ in range(50)) if isinstance(a, Reject)} == {
+    harness = BalancerHarness(
+        [make_endpoint(1, started_at=1000.0)], replace(SETTINGS, balancer_count=200, rules=RULES)
+    )
+    assert {a.reason for a in (harness.submit_request()[0] for _ in range(50)) if isinstance(a, Reject)} == {
         RejectReason.SLOW_START_LIMIT
     }
-    harness.update_endpoints(entry(2))
-    sends = [harness.ask()[0] for _ in range(20)]
+    harness.update_endpoints(make_endpoint(2))
+    sends = [harness.submit_request()[0] for _ in range(20)]
     assert {s.server for s in sends} == {2}  # some of them were kept from the other
-    harness.gone(1)
-    harness.gone(2)
+    harness.withdraw_server(1)
+    harness.withdraw_server(2)
     assert {harness.end(s, Outcome.REJECTED)[0].reason for s in sends} == {RejectReason.NO_AVAILABLE_SERVER}
 
 
@@ -152,7 +154,7 @@
         for _ in range(placed_before):
             harness.place()
         harness.tick()
-        harness.update_endpoints(entry(11, started_at=harness.now))
+        harness.update_endpoints(make_endpoint(11, started_at=harness.now))
         early += sum(harness.place().server == 11 for _ in range(10))
     # A warm server carries 2 connections of each balancer, 80 in all: what fills it over the 20 s of its
     # warm-up is 4 a second, and it can do a fifth of that at its start.
@@ -165,7 +167,7 @@
         for _ in range(4):
             harness.place()
         harness.tick()
-    harness.update_endpoints(entry(5, started_at=harness.now))
+    harness.update_endpoints(make_endpoint(5, started_at=harness.now))
     got = 0
     for _ in range(20):
         harness.tick()
@@ -174,8 +176,8 @@
 
 
 def test_burst_is_rejected_where_only_warming_servers_are_left():
-    harness = BalancerHarness([entry(1, started_at=1000.0)], settings=replace(SETTINGS, balancer_count=10))
-    assert sum(isinstance(harness.ask()[0], StartAttempt) for _ in range(20)) <= 1
+    harness = BalancerHarness([make_endpoint(1, started_at=1000.0)], settings=replace(SETTINGS, balancer_count=10))
+    assert sum(isinstance(harness.submit_request()[0], StartAttempt) for _ in range(20)) <= 1
 
 
 def test_without_listed_sizes_warming_servers_are_filled_by_the_reported_capacity():
@@ -184,7 +186,7 @@
     for sized in (False, True):
         rules = replace(SETTINGS.rules, slow_start_duration=8.0)
         harness = BalancerHarness(
-            [entry(1), entry(2), entry(9, started_at=1000.0)],
+            [make_endpoint(1), make_endpoint(2), make_endpoint(9, started_at=1000.0)],
             replace(HEALTH_CHECK_SETTINGS, weights_are_sizes=sized, rules=rules),
         )
         if not sized:
@@ -247,7 +249,7 @@
             if not step % 10:
                 harness.tick(0.0)
         for harness in draw.choices(processes, k=6):
-            (action,) = harness.ask()
+            (action,) = harness.submit_request()
             if isinstance(action, StartAttempt):
                 harness.establish(action)
                 harness.balancer.handle(harness.now, ConnectionLoadReported(action.request_id, action.server, LOAD))
--- a/tests/test_slow_start_limit.py
+++ b/tests/test_slow_start_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import RejectReason
 from aspensaddle.core.events import Request
@@ -16,7 +16,7 @@
 
     The limit of server 1 is 3.0 (overload multiple) * 0.6 (warmth) / 20 s = 0.09 of a core per second.
     """
-    harness = BalancerHarness([entry(1, started_at=1000.0), entry(2)])
+    harness = BalancerHarness([make_endpoint(1, started_at=1000.0), make_endpoint(2)])
     harness.balancer.state.load_samples = 100
     harness.balancer.state.mean_load = 0.01
     harness.now = 1000.0 + SETTINGS.rules.slow_start_duration / 2
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import DiscoveryHarness, listed_target
 
 from aspensaddle.core.actions import StartAttempt
@@ -25,7 +25,7 @@
 def test_rotation_begins_at_a_random_server():
     firsts = set()
     for seed in range(20):
-        (send,) = BalancerHarness(4, seed=seed).ask()
+        (send,) = BalancerHarness(4, seed=seed).submit_request()
         assert isinstance(send, StartAttempt)
         firsts.add(send.server)
     assert firsts == {1, 2, 3, 4}
@@ -48,7 +48,7 @@
 
 
 def test_listed_weights_scale_the_shares():
-    harness = BalancerHarness([entry(1, weight=3.0), entry(2, weight=1.0)])
+    harness = BalancerHarness([make_endpoint(1, weight=3.0), make_endpoint(2, weight=1.0)])
     sent = [harness.place().server for _ in range(40)]
     assert sent.count(1) in (29, 30, 31)
 
@@ -57,13 +57,19 @@
     """Listed weights are core counts; the speed of a core depends on the machine type."""
     settings = replace(SETTINGS, machine_types=("other", "plain-runner", "fast-runner"), core_speeds=(1.0, 0.97, 1.5))
     harness = BalancerHarness(
-        [entry(1, machine_type=1), entry(2, machine_type=2), entry(3, machine_type=0), entry(4)], settings=settings
+        [
+            make_endpoint(1, machine_type=1),
+            make_endpoint(2, machine_type=2),
+            make_endpoint(3, machine_type=0),
+            make_endpoint(4),
+        ],
+        settings=settings,
     )
     for _ in range(447):
         harness.place(load_hint=0.01)
     held = {n: len(s.connections) for n, s in harness.balancer.servers.items()}
     assert abs(held[1] - 97) <= 2 and abs(held[2] - 150) <= 2 and abs(held[3] - 100) <= 2, held
-    harness.update_endpoints(entry(1, machine_type=2))  # and by what the list says now
+    harness.update_endpoints(make_endpoint(1, machine_type=2))  # and by what the list says now
     assert harness.balancer.servers[1].weight == harness.balancer.servers[2].weight
 
 
