--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -176,7 +176,7 @@
         if server is None:
             return self._give_up(request, give_up_reason(request, time_left, limits))
         request.attempts += 1
-        request.attempt_sent_at = now
+        request.attempt_started_at = now
         request.server = server
         request.tried_servers = [*request.tried_servers, server.id]
         server.last_attempt_at = now
@@ -187,7 +187,7 @@
     def _preferred_server_count(self, request: RequestState) -> int:
         """Return on how many servers the list alone keeps the request's group; 0 where it does not."""
         group = request.request.session_group
-        if group is None or not self.state.sees_little:
+        if group is None or not self.state.has_few_connections:
             return 0
         return self.state.session_groups.preferred_server_count(group, self.state.ready_count)
 
@@ -206,14 +206,14 @@
             return []
         if request.attempts != event.attempt + 1:
             return []
-        self._accept(now, request, request.server, event.latency)
+        self._mark_established(now, request, request.server, event.latency)
         request.server.connections[event.request_id] = request
         return []
 
-    def _accept(self, now: float, request: RequestState, server: Server, latency: float) -> None:
+    def _mark_established(self, now: float, request: RequestState, server: Server, latency: float) -> None:
         request.is_established = True
         request.established_at = now
-        server.accepted_at = request.attempt_sent_at
+        server.accepted_at = request.attempt_started_at
         self.outlier_ejection.attempt_accepted(now, server)
         objective = self.state.settings.classes[request.request.class_index].latency_objective
         self.passive_measurement.count(server, accepted=latency <= objective)
@@ -225,7 +225,7 @@
         server = request.server
         self._release(request, server)
         if event.outcome is Outcome.OK and not request.is_established:
-            self._accept(now, request, server, event.latency)
+            self._mark_established(now, request, server, event.latency)
         elif event.outcome not in NEUTRAL_OUTCOMES:
             self.passive_measurement.count(server, accepted=False)
             self.outlier_ejection.attempt_failed(now, request, server, event.outcome)
@@ -234,7 +234,7 @@
             return []
         if not event.outcome.known_not_executed and request.possibly_executed_on is None:
             request.possibly_executed_on = server
-            request.possibly_executed_at = request.attempt_sent_at
+            request.possibly_executed_at = request.attempt_started_at
         return self._attempt(now, request)
 
     def _release(self, request: RequestState, server: Server) -> None:
--- a/aspensaddle/core/balancer_state.py
+++ b/aspensaddle/core/balancer_state.py
@@ -51,7 +51,9 @@
         self.reported_capacity = 0.0  # smoothed, of a warm server; 0 without reports
         self.reported_connections = 0.0  # of all balancers; 0 without reports
         # Faults.
-        self.unseen_weight = 0.0  # 0 for few balancers, towards 1 the fewer servers hold this balancer's connections
+        self.unobserved_weight = (
+            0.0  # 0 for few balancers, towards 1 the fewer servers hold this balancer's connections
+        )
         self.lost_connections = 0.0  # a decaying count
 
     def configure(self, settings: Settings) -> None:
@@ -70,7 +72,7 @@
         self.balancers_in_load = settings.balancer_count if self.uses_load_reports else 1
 
     @property
-    def sees_little(self) -> bool:
+    def has_few_connections(self) -> bool:
         """Whether this is one of many balancers and holds less than a connection per server."""
         return self.many_balancers_weight > 0 and len(self.requests) < self.ready_count
 
--- a/aspensaddle/core/driver.py
+++ b/aspensaddle/core/driver.py
@@ -142,7 +142,7 @@
         """
         active = self._requests.get(request_id)
         now = self.now()
-        if active is None or not self._may_be_sent(now, active.server):
+        if active is None or not self._may_receive_attempt(now, active.server):
             return False
         if now >= min(active.deadline, self._attempts_end_at):
             return False
@@ -160,11 +160,11 @@
     def may_start_adoption(self, handler: RequestHandler, server: int) -> bool:
         """Return whether an attempt to adopt a connection may send its first byte, which is then done at once."""
         now = self.now()
-        if now >= self._attempts_end_at or not self._may_be_sent(now, server):
+        if now >= self._attempts_end_at or not self._may_receive_attempt(now, server):
             return False
         return handler.client_is_connected()
 
-    def _may_be_sent(self, now: float, server: int) -> bool:
+    def _may_receive_attempt(self, now: float, server: int) -> bool:
         return self.is_ready(server) and self.balancer.is_confirmed(now, server)
 
     def stop_attempts_after(self, seconds: float) -> None:
@@ -183,10 +183,10 @@
         may_retry = not possibly_executed or self.settings.classes[active.class_index].client_may_retry
         self._handle(ClientDisconnected(request_id))
         if not may_retry:
-            active.handler.act(Fail(request_id))
+            active.handler.handle_action(Fail(request_id))
             return
         retry_after = shutdown_retry_after(self.settings.limits)
-        active.handler.act(Reject(request_id, retry_after, RejectReason.SHUTTING_DOWN))
+        active.handler.handle_action(Reject(request_id, retry_after, RejectReason.SHUTTING_DOWN))
 
     def connection_adopted(self, handler: RequestHandler, request: Request, server: int) -> None:
         """Take over a connection that was open before this process started."""
@@ -290,4 +290,4 @@
             active.attempt_started_at = now
         elif isinstance(action, Reject | Fail):
             del self._requests[action.request_id]
-        active.handler.act(action)
+        active.handler.handle_action(action)
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -64,11 +64,11 @@
             server.is_ready and state.capacity_fraction(now, server) < 1.0 for server in state.servers.values()
         )
         seen, slow = self._count_seen(now)
-        assumed = ASSUMED_NOT_SLOW_SERVERS + ASSUMED_NOT_SLOW_SERVERS_SPARSE * state.sees_little
+        assumed = ASSUMED_NOT_SLOW_SERVERS + ASSUMED_NOT_SLOW_SERVERS_SPARSE * state.has_few_connections
         for pool in (state.local_pool, state.fleet_pool):
             pool.slow_fraction = slow[pool] / (seen[pool] + assumed)
         seen_fraction = seen[state.fleet_pool] / max(1, state.ready_count)
-        state.unseen_weight = state.many_balancers_weight * max(0.0, 1 - seen_fraction)
+        state.unobserved_weight = state.many_balancers_weight * max(0.0, 1 - seen_fraction)
 
     def _count_seen(self, now: float) -> tuple[Counter[ServerPool], Counter[ServerPool]]:
         """Return how many servers with connections each pool has, and how many of these are slow."""
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -53,7 +53,7 @@
         """
         state = self._state
         slowness = min(1.0, latency / state.message_latency_objective)
-        return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unseen_weight) * slowness)
+        return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unobserved_weight) * slowness)
 
     def off_overloaded_server(self, server: Server) -> list[Migrate]:
         """Migrate what a server reports to be asked beyond its capacity."""
@@ -86,7 +86,7 @@
     def _update_shortage(self, now: float) -> None:
         """Find the shortage. It applies to many balancers that see little, with listed sizes and without reports."""
         state = self._state
-        applies = state.sees_little and state.settings.weights_are_sizes and not state.uses_load_reports
+        applies = state.has_few_connections and state.settings.weights_are_sizes and not state.uses_load_reports
         capacities = [
             ServerCapacity(server.weight, server.weight * state.capacity_fraction(now, server) * server.is_ready)
             for server in state.servers.values()
--- a/aspensaddle/core/protocols.py
+++ b/aspensaddle/core/protocols.py
@@ -10,7 +10,7 @@
 class RequestHandler(Protocol):
     """What holds a request in a front end."""
 
-    def act(self, action: RequestAction) -> None:
+    def handle_action(self, action: RequestAction) -> None:
         """Carry out what was decided for the request."""
 
     def client_is_connected(self) -> bool:
--- a/aspensaddle/core/request_state.py
+++ b/aspensaddle/core/request_state.py
@@ -20,7 +20,7 @@
         self.deadline = deadline
         self.load = request.load_hint  # None: not known
         self.attempts = 0
-        self.attempt_sent_at = 0.0
+        self.attempt_started_at = 0.0
         self.server: Server | None = None  # of the attempt or the connection
         self.tried_servers: list[int] = []
         self.is_established = False
--- a/aspensaddle/frontends/line_protocol/frontend.py
+++ b/aspensaddle/frontends/line_protocol/frontend.py
@@ -64,7 +64,7 @@
             if request_id in self.driver:
                 self.driver.reject_on_shutdown(request_id)
             else:  # a connection to adopt, which the driver does not know yet
-                state.act(Reject(request_id, 0.0, RejectReason.SHUTTING_DOWN))
+                state.handle_action(Reject(request_id, 0.0, RejectReason.SHUTTING_DOWN))
 
     @property
     def unfinished_connections(self) -> int:
--- a/aspensaddle/frontends/line_protocol/request_state.py
+++ b/aspensaddle/frontends/line_protocol/request_state.py
@@ -44,7 +44,7 @@
 
     # ------------------------------------------------------------ called by the driver
 
-    def act(self, action: RequestAction) -> None:
+    def handle_action(self, action: RequestAction) -> None:
         """Take note of an action of the balancer."""
         match action:
             case StartAttempt():
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -121,7 +121,7 @@
     by_address: bool = False  # its runner's ids can't be read: its address has to do
     ended: bool = False
 
-    def act(self, action: RequestAction) -> None:
+    def handle_action(self, action: RequestAction) -> None:
         self.decisions.append((self, action))
 
     def client_is_connected(self) -> bool:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -232,14 +232,14 @@
 
     async def main():
         state = RequestState(None)
-        state.act(StartAttempt("r", 1, 1.0))
+        state.handle_action(StartAttempt("r", 1, 1.0))
         first = state.attempt_scope
-        state.act(CancelAttempt("r", 0))
+        state.handle_action(CancelAttempt("r", 0))
         assert first.cancel_called
-        state.act(StartAttempt("r", 2, 1.0))
-        state.act(CancelAttempt("r", 0))
+        state.handle_action(StartAttempt("r", 2, 1.0))
+        state.handle_action(CancelAttempt("r", 0))
         assert not state.attempt_scope.cancel_called
-        state.act(CancelAttempt("r", 1))
+        state.handle_action(CancelAttempt("r", 1))
         assert state.attempt_scope.cancel_called
 
     trio.run(main)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -243,7 +243,7 @@
 def test_the_last_check_before_the_first_byte_asks_for_the_confirmation_too():
     clock = SimpleNamespace(now=100.0)
     services = SimpleNamespace(timers_changed=lambda: None, check_health=lambda server: None)
-    handler = SimpleNamespace(act=lambda action: None, client_is_connected=lambda: True)
+    handler = SimpleNamespace(handle_action=lambda action: None, client_is_connected=lambda: True)
     driver = Driver(GRACE, 1, services, lambda: clock.now)
     driver.start((Endpoint(1),))
     driver.endpoint_list_confirmed()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.actions, self.there = [], True
 
-    def act(self, action):
+    def handle_action(self, action):
         self.actions.append(action)
 
     def client_is_connected(self):
--- a/tests/test_quic_engine.py
+++ b/tests/test_quic_engine.py
@@ -65,7 +65,7 @@
     engine = testbed.frontend.engine
     (session,) = engine.sessions.all.values()
     old = session.ids[-1]
-    session.act(Migrate(session.id))
+    session.handle_action(Migrate(session.id))
     testbed.wait(lambda: client.reset, "a reset")
     assert not engine.sessions.all and not engine.paths.count and session.id not in testbed.frontend.driver
     raw = testbed.raw_endpoint()
@@ -80,7 +80,7 @@
     client = testbed.client()
     testbed.wait(lambda: testbed.frontend.engine.sessions.all, "the session")
     (session,) = testbed.frontend.engine.sessions.all.values()
-    session.act(Migrate(session.id))
+    session.handle_action(Migrate(session.id))
     testbed.wait(lambda: client.ready, "the handshake")
     client.say(b"hello")
     testbed.wait(lambda: client.reset, "a reset")
