--- a/aspensaddle/__init__.py
+++ b/aspensaddle/__init__.py
@@ -1,4 +1,4 @@
-"""aspensaddle decides where long-lived connections go."""
+"""aspensaddle: a load balancer for long-lived connections."""
 
 from aspensaddle.core.balancer import Balancer
 
--- a/aspensaddle/core/__init__.py
+++ b/aspensaddle/core/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions, their settings, events and actions, and the driver that carries events in and actions out.
+"""The load balancing logic: its settings, events and actions, and the driver that connects it to a process.
 
-They do no I/O, apart from the operator's file of machine types, and know no clock but the driver's. The
-platform's field names are known to the settings parser alone.
+The package does no I/O, except that it reads the operator's file of machine types. Only the driver reads a clock, and
+only the settings parser knows the field names of the platform.
 """
--- a/aspensaddle/core/actions.py
+++ b/aspensaddle/core/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a `Balancer` decides. Times are seconds."""
+"""Actions: the decisions of a `Balancer`, to be carried out by its driver. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class RejectReason(Enum):
-    """Why a request was rejected, as the log and the counters name it."""
+    """Why a request was rejected. The values appear in the log and in the names of counters."""
 
-    OVERLOAD = "overload"  # too many of the servers that hold connections are slow
-    OVER_QUOTA = "over_quota"  # the same, for a tenant over its quota, which is rejected sooner
+    OVERLOAD = "overload"  # too many of the servers with connections are slow
+    OVER_QUOTA = "over_quota"  # as OVERLOAD, for a tenant over its quota, which is rejected earlier
     RETRY_STORM = "retry_storm"  # the client reconnects while connections are being lost or capacity is missing
     SLOW_START_LIMIT = "slow_start_limit"  # only servers that are warming up were left, and their limit is reached
-    AFFINITY_SERVER_WARMING_UP = "affinity_server_warming_up"  # the preferred server has reached its limit
-    NO_AVAILABLE_SERVER = "no_available_server"  # no server is ready, has capacity and may be sent this
-    ENDPOINTS_UNCONFIRMED = "endpoints_unconfirmed"  # the list could not be refreshed for too long
+    AFFINITY_SERVER_WARMING_UP = "affinity_server_warming_up"  # the preferred server's slow start limit is reached
+    NO_AVAILABLE_SERVER = "no_available_server"  # no server is ready, has capacity and is allowed for the request
+    ENDPOINTS_UNCONFIRMED = "endpoints_unconfirmed"  # the endpoint list has not been refreshed for too long
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
     DEADLINE_EXCEEDED = "deadline_exceeded"
     SHUTTING_DOWN = "shutting_down"
@@ -33,7 +33,10 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not executed, or a retry is harmless. The client may retry after `retry_after`."""
+    """Final answer: the client may retry after `retry_after`.
+
+    The request was not executed, or a retry is harmless.
+    """
 
     request_id: str
     retry_after: float
@@ -71,12 +74,12 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list at discovery from now on."""
+    """Start to watch the endpoint list at the discovery service."""
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Fire a timer after `delay`."""
+    """Start a timer that fires after `delay`."""
 
     timer: str
     delay: float
--- a/aspensaddle/core/active_request.py
+++ b/aspensaddle/core/active_request.py
@@ -1,4 +1,4 @@
-"""What the driver keeps of one request in progress."""
+"""The driver's record of one request in progress."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class ActiveRequest:
-    """A request in progress, or the connection that came of it."""
+    """A request in progress, or the connection that it established."""
 
     handler: RequestHandler
     class_index: int
--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: takes events, asks the rules in order and returns their actions.
+"""The balancer: handles events by applying its rules in order, and returns the actions that follow.
 
 `docs/architecture.md` lists the rules with their modules and their order.
 """
@@ -45,18 +45,18 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 TICK_TIMER = "tick"
-WARM_UP_REFRESH_TICKS = 2  # shares follow the warm-up every second tick, which spares processor time
+WARM_UP_REFRESH_TICKS = 2  # updating the shares of warming servers only every second tick saves CPU time
 
 
 class Balancer:
-    """Decides for one balancer, free of I/O and clocks.
+    """The load balancing decisions of one balancer, without I/O and without a clock of its own.
 
     `handle` takes the time in seconds and an event and returns the actions to carry out, in order. Events for unknown
     requests and servers are ignored.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without servers and requests. The same seed and events give the same actions."""
+        """Create a balancer without servers and requests. The same seed and events give the same actions."""
         self.state = BalancerState(settings, seed)
         self.rotation = WeightedRotation(self.state)
         self.passive_measurement = PassiveMeasurement(self.state, self.rotation)
@@ -99,7 +99,7 @@
         return record is not None and self.state.is_confirmed(now, record)
 
     def configure(self, settings: Settings) -> None:
-        """Use other settings from now on. Classes and zones keep their numbers."""
+        """Replace the settings. The indexes of request classes and zones must keep their meaning."""
         self.state.configure(settings)
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -110,9 +110,11 @@
     # ------------------------------------------------------------ timers and endpoint list
 
     def _started(self, now: float, event: Started) -> list[Action]:
-        # Drawn, because balancers that tick together would cut the same server together.
+        # The first tick is at a random time: balancers that tick together would cut the same server's ratio together.
         tick = SetTimer(TICK_TIMER, self.state.random.uniform(0.0, TICK_SECONDS))
-        watch = self.membership.first_watch()  # drawn even if unused: one seed, one sequence of draws
+        watch = (
+            self.membership.first_watch()
+        )  # always created: it draws a random number, and a seed must give one sequence
         return [tick, watch] if self.state.settings.polls_discovery else [tick]
 
     def _timer_fired(self, now: float, event: TimerFired) -> list[Action]:
@@ -121,7 +123,7 @@
         return [WatchEndpoints()] if event.timer == WATCH_TIMER else []
 
     def _tick(self, now: float) -> list[Action]:
-        """Run the periodic rules. Their order matters: readmitted servers are placed by the refresh after it."""
+        """Run the periodic rules. Their order matters: the refresh places servers that were readmitted before."""
         self.passive_measurement.cut_worst(now)
         self.outlier_ejection.readmit_holding(now)
         self.latency_outliers.clear_silent(now)
@@ -131,7 +133,7 @@
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
         self.accounting.smooth_typical_load()
-        # Raised ratios can wait for the end of a window, a changed list cannot.
+        # A changed list is laid out at once; raised ratios wait until the measurement window ends.
         if self.rotation.needs_layout or (not self.passive_measurement.slot and self.rotation.raised):
             self.rotation.lay_out(now, self.accounting.weigh)
         return [*self.health_checks.due(now), *self.migration.rebalance(), *self.migration.heavy_connections(now)]
@@ -185,14 +187,14 @@
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
-        """Return on how many servers the list alone keeps the request's group; 0 where it does not."""
+        """Return how many servers the session group is kept on; 0 without a group or with many connections."""
         group = request.request.session_group
         if group is None or not self.state.has_few_connections:
             return 0
         return self.state.session_groups.preferred_server_count(group, self.state.ready_count)
 
     def _give_up(self, request: RequestState, reason: RejectReason) -> list[Action]:
-        """Give the final answer of a request that is not placed: rejected if the client may retry, else failed."""
+        """Give the final answer to a request that was not placed: reject it if the client may retry, else fail it."""
         request_id = request.request.request_id
         del self.state.requests[request_id]
         request_class = self.state.settings.classes[request.request.class_index]
--- a/aspensaddle/core/balancer_state.py
+++ b/aspensaddle/core/balancer_state.py
@@ -16,18 +16,18 @@
 from aspensaddle.core.settings import Settings
 from aspensaddle.core.tenant_quotas import TenantQuotas
 
-USUAL_BALANCER_COUNT = 2.5  # two or three; with more, each sees only a part of what servers carry
+USUAL_BALANCER_COUNT = 2.5  # two or three; with more, each one sees only a part of the load of a server
 MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS = 1e-3
 
 
 class BalancerState:
-    """Shared state of one balancer. The rules read and change it; it decides nothing.
+    """Shared state of one balancer. The rules read and change it; it makes no decisions.
 
-    Loads are core seconds a second. `mean_load` is that of a connection, 1 until any is known.
+    Loads are core seconds per second. `mean_load` is the mean load of a connection, 1 until one is known.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without servers and requests. `seed` is that of all random draws."""
+        """Create the state without servers and requests. `seed` initializes all random draws."""
         self.tenant_quotas = TenantQuotas()
         self.configure(settings)
         self.random = Random(seed)
@@ -44,27 +44,26 @@
         self.warming_up_count = 0
         # Loads.
         self.mean_load = 1.0
-        self.load_samples = 0  # that the mean was made of, up to a maximum
-        self.total_load = 0.0  # of all servers, those that drain included
-        self.typical_server_load = 0.0  # smoothed, total load per ready server
-        self.own_load = 0.0  # of this balancer's connections
-        self.reported_capacity = 0.0  # smoothed, of a warm server; 0 without reports
-        self.reported_connections = 0.0  # of all balancers; 0 without reports
-        # Faults.
-        self.unobserved_weight = (
-            0.0  # 0 for few balancers, towards 1 the fewer servers hold this balancer's connections
-        )
-        self.lost_connections = 0.0  # a decaying count
+        self.load_samples = 0  # number of samples in the mean, up to a maximum
+        self.total_load = 0.0  # load of all servers, including draining ones
+        self.typical_server_load = 0.0  # smoothed total load per ready server
+        self.own_load = 0.0  # load of this balancer's connections
+        self.reported_capacity = 0.0  # smoothed capacity of a warm server; 0 without load reports
+        self.reported_connections = 0.0  # connections of all balancers; 0 without load reports
+        # Failures.
+        # 0 with few balancers; near 1 with many, if few servers hold this balancer's connections.
+        self.unobserved_weight = 0.0
+        self.lost_connections = 0.0  # decaying count
 
     def configure(self, settings: Settings) -> None:
-        """Take settings, at the start or later. Classes and zones keep their numbers."""
+        """Apply settings. The indexes of request classes and zones must keep their meaning."""
         self.settings = settings
         self.rules = settings.rules
         self.limits = settings.limits
         shortest = min(request_class.message_latency_objective for request_class in settings.classes)
         self.message_latency_objective = max(MIN_MESSAGE_LATENCY_OBJECTIVE_SECONDS, shortest)
         self.session_group_cost = settings.session_group_cost if settings.session_groups else 0.0
-        # 0 for a usual number of balancers, towards 1 for many.
+        # 0 for a usual number of balancers, near 1 for many.
         self.many_balancers_weight = max(0.0, 1 - USUAL_BALANCER_COUNT / settings.balancer_count)
         self.tenant_quotas.quotas = settings.tenant_connection_quotas
         self.uses_load_reports = uses_load_reports(settings)
@@ -73,7 +72,7 @@
 
     @property
     def has_few_connections(self) -> bool:
-        """Whether this is one of many balancers and holds less than a connection per server."""
+        """Whether this is one of many balancers and has less than one request or connection per ready server."""
         return self.many_balancers_weight > 0 and len(self.requests) < self.ready_count
 
     def pools_of(self, server: Server) -> tuple[ServerPool, ...]:
@@ -87,5 +86,5 @@
         return self.endpoint_confirmation.is_confirmed(now, server, self.rules.drain_grace)
 
     def capacity_fraction(self, now: float, server: Server) -> float:
-        """Return the least fraction of its capacity that a server has by now."""
+        """Return the least fraction of its capacity that a server is sure to have at the time `now`."""
         return self.rules.capacity_fraction(now - server.started_at) if server.started_at else 1.0
--- a/aspensaddle/core/clock.py
+++ b/aspensaddle/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the decisions."""
+"""The clock of the driver and its balancer."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def unix_clock() -> Callable[[], float]:
-    """Return a clock of Unix time that ignores later changes of the wall clock.
+    """Return a clock that returns Unix time and ignores later changes of the wall clock.
 
-    Server start times are listed in Unix time, so the balancer's clock needs no conversion.
+    The endpoint list gives server start times in Unix time, so they need no conversion.
     """
     offset = time.time() - time.monotonic()
     return lambda: time.monotonic() + offset
--- a/aspensaddle/core/driver.py
+++ b/aspensaddle/core/driver.py
@@ -1,8 +1,8 @@
-"""Driver of one `Balancer`: owns it, its clock and its timers, and carries events in and actions out.
+"""Driver of one `Balancer`: owns it, its clock and its timers, passes it events and carries out its actions.
 
-A front end reports what happens by request id. Actions go to the `RequestHandler` of the request that they concern,
-or to the `ProcessServices`. All calls come from one thread. A handler or service only takes note of a call and does
-not call back from within it. Times are seconds, loads seconds of a standard core per second.
+A front end reports events by request id. An action goes to the `RequestHandler` of its request or to the
+`ProcessServices`. All calls come from one thread. A handler or service must not call the driver from within a call;
+it records the call and acts on it later. Times are in seconds, loads in standard core seconds per second.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 from aspensaddle.core.slow_responses import SlowResponseDetector
 from aspensaddle.core.timers import TimerQueue
 
-DEADLINE_TOLERANCE_SECONDS = 0.001  # an attempt that ends this close before the deadline ended at it
+DEADLINE_TOLERANCE_SECONDS = 0.001  # an attempt that ends this shortly before its deadline counts as ended at it
 
 
 class Driver:
@@ -63,7 +63,7 @@
         services: ProcessServices,
         clock: Callable[[], float] | None = None,
     ) -> None:
-        """Create the balancer. `seed` is that of its random draws; `clock` returns Unix time in seconds."""
+        """Create the balancer. `seed` initializes its random draws; `clock` returns Unix time in seconds."""
         self.settings = settings
         self.services = services
         self.balancer = Balancer(settings, seed)
@@ -76,7 +76,7 @@
         self._slow_responses = SlowResponseDetector(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Use other settings from now on. Requests, connections and measurements stay."""
+        """Replace the settings. Requests, connections and measurements are kept."""
         self.settings = settings
         self.balancer.configure(settings)
         self._slow_responses.configure(settings)
@@ -89,7 +89,7 @@
         return self._last_now
 
     def next_timer(self) -> float | None:
-        """Return the seconds until a timer is due, or None without any."""
+        """Return the seconds until the next timer is due, or None without timers."""
         due_at = self._timers.next_due_at()
         return None if due_at is None else max(0.0, due_at - self.now())
 
@@ -101,12 +101,12 @@
     # ------------------------------------------------------------ endpoint list
 
     def start(self, cached: Iterable[Endpoint]) -> None:
-        """Start the balancer with the endpoint list as it was last held, which may be old."""
+        """Start the balancer with the endpoint list from before the restart, which may be outdated."""
         self._handle(Started())
         self.update_endpoints(EndpointUpdateScope.CACHED, tuple(cached))
 
     def update_endpoints(self, scope: EndpointUpdateScope, endpoints: tuple[Endpoint, ...] = ()) -> None:
-        """Take an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         if scope is not EndpointUpdateScope.FAILED:
             if scope is not EndpointUpdateScope.INCREMENTAL:
                 self._ready_servers.clear()
@@ -118,13 +118,13 @@
         self._handle(EndpointsChanged(scope, endpoints))
 
     def endpoint_list_confirmed(self) -> None:
-        """Note that the list is current, or that the discovery service cannot be reached."""
+        """Record that the list is current, or that the discovery service cannot be reached."""
         self._handle(EndpointListConfirmed())
 
     # ------------------------------------------------------------ requests
 
     def __contains__(self, request_id: str) -> bool:
-        """Return whether a request is in progress or its connection open."""
+        """Return whether a request is in progress or its connection is open."""
         return request_id in self._requests
 
     def submit(self, handler: RequestHandler, request: Request) -> None:
@@ -136,9 +136,9 @@
     def may_start_attempt(self, request_id: str) -> bool:
         """Return whether the current attempt may send its first byte, which the front end then does at once.
 
-        The one check for all front ends. Between the choice of the server and an open connection the server may have
-        started to drain, the client or the process may be leaving, and the deduplication window or the deadline may
-        have passed.
+        Every front end makes this check. While the connection to the selected server was being opened, the server may
+        have started to drain, the client may have disconnected, the process may have begun to shut down, and the
+        deduplication window or the deadline may have passed.
         """
         active = self._requests.get(request_id)
         now = self.now()
@@ -168,13 +168,13 @@
         return self.is_ready(server) and self.balancer.is_confirmed(now, server)
 
     def stop_attempts_after(self, seconds: float) -> None:
-        """Start no attempt later than this: the process shuts down."""
+        """Start no attempt later than `seconds` from now, because the process is shutting down."""
         self._attempts_end_at = min(self._attempts_end_at, self.now() + seconds)
 
     def reject_on_shutdown(self, request_id: str) -> None:
-        """Give the final answer of a request that this process can no longer serve.
+        """Give the final answer to a request that this process can no longer serve.
 
-        It is rejected where a retry is harmless by its class and by what may have been executed, else it fails.
+        The request is rejected if it was not executed or if its class allows the client to retry; otherwise it fails.
         """
         active = self._requests.pop(request_id, None)
         if active is None:
@@ -189,25 +189,25 @@
         active.handler.handle_action(Reject(request_id, retry_after, RejectReason.SHUTTING_DOWN))
 
     def connection_adopted(self, handler: RequestHandler, request: Request, server: int) -> None:
-        """Take over a connection that was open before this process started."""
+        """Adopt a connection that was open before this process started."""
         self._requests[request.request_id] = ActiveRequest(handler, request.class_index, float("inf"), 0, server)
         self._handle(ConnectionAdopted(request, server))
 
     def connection_established(self, request_id: str) -> None:
-        """Report that the current attempt became an open connection."""
+        """Report that the current attempt established its connection."""
         if active := self._requests.get(request_id):
             now = self.now()
             latency = now - active.attempt_started_at
             self._handle(ConnectionEstablished(request_id, active.attempt, active.server, latency), now)
 
     def attempt_ended(self, request_id: str, outcome: Outcome, finished: bool = False) -> None:
-        """Report that the current attempt, or the connection that came of it, ended."""
+        """Report that the current attempt, or the connection that it established, ended."""
         active = self._requests.get(request_id)
         if active is None:
             return
         now = self.now()
         if now < active.deadline <= now + DEADLINE_TOLERANCE_SECONDS:
-            # A timeout that wakes slightly early must not lead to an attempt without any time left.
+            # A timeout that fires slightly early must not lead to another attempt with almost no time left.
             now = self._last_now = active.deadline
         if not outcome.known_not_executed and active.possibly_executed_at is None:
             active.possibly_executed_at = active.attempt_started_at
@@ -218,7 +218,7 @@
         self._handle(AttemptEnded(request_id, active.attempt, active.server, outcome, latency, finished), now)
 
     def client_disconnected(self, request_id: str) -> None:
-        """Report that the client has gone: no answer is owed."""
+        """Report that the client has disconnected and needs no answer."""
         if self._requests.pop(request_id, None):
             self._handle(ClientDisconnected(request_id))
 
@@ -230,7 +230,7 @@
             self._handle(ConnectionLoadReported(request_id, active.server, load))
 
     def server_latency_reported(self, request_id: str, latency: float) -> None:
-        """Report what the server of a connection says that a message takes there."""
+        """Report the message latency that the server of a connection states."""
         if active := self._requests.get(request_id):
             self._handle(ServerLatencyReported(request_id, active.server, latency))
 
@@ -241,11 +241,11 @@
         self._handle(HealthCheckCompleted(server, outcome, latency, report))
 
     def record_event_loop_lag(self, lag: float) -> None:
-        """Note that this process did something `lag` seconds late."""
+        """Record that the event loop ran something `lag` seconds late."""
         self._slow_responses.record_event_loop_lag(lag)
 
     def record_response_delay(self, request_id: str, delay: float) -> None:
-        """Note that a response on a connection took `delay` seconds, or has been awaited for so long."""
+        """Record that a response on a connection took `delay` seconds, or has been awaited for that time."""
         active = self._requests.get(request_id)
         if active is None:
             return
@@ -255,10 +255,10 @@
             self._handle(ServerLatencyReported(request_id, active.server, latency), now)
 
     def server_snapshots(self) -> dict[int, ServerSnapshot]:
-        """Return what is known of each server, by its number."""
+        """Return a snapshot of each server, by server number."""
         return snapshot_servers(self.balancer.servers.values(), self.now())
 
-    # ------------------------------------------------------------ events in, actions out
+    # ------------------------------------------------------------ events and actions
 
     def _handle(self, event: Event, now: float | None = None) -> None:
         now = self.now() if now is None else now
--- a/aspensaddle/core/events.py
+++ b/aspensaddle/core/events.py
@@ -1,4 +1,4 @@
-"""Events: what a `Balancer` is told. Times are seconds, loads seconds of a standard core per second."""
+"""Events: the input of a `Balancer`. Times are in seconds, loads in standard core seconds per second."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class EndpointUpdateScope(Enum):
-    """What an update of the endpoint list holds."""
+    """What an update of the endpoint list contains."""
 
     INCREMENTAL = "incremental"
     COMPLETE = "complete"
-    CACHED = "cached"  # the complete list as it was held before a restart
+    CACHED = "cached"  # the complete list, saved before a restart
     FAILED = "failed"  # a call to discovery failed or the watch broke
 
 
@@ -28,8 +28,8 @@
 class Endpoint:
     """One server of the endpoint list.
 
-    `weight` is the listed size or share, `started_at` Unix time (0: long ago), `machine_type` an index into the
-    settings' machine types (-1: none of them).
+    `weight` is the listed size or share, `started_at` the start in Unix time (0: long ago), `machine_type` an index
+    into the machine types of the settings (-1: none of them).
     """
 
     server: int
@@ -42,7 +42,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended. After some outcomes it is known that the request was not executed."""
+    """How an attempt ended. Some outcomes prove that the server did not execute the request."""
 
     OK = ("ok", False)
     ERROR = ("error", False)
@@ -54,16 +54,16 @@
     NOT_SENT = ("not_sent", True)
 
     def __init__(self, label: str, known_not_executed: bool) -> None:
-        """Keep a readable label and whether the request is known not to have been executed."""
+        """Store the label for logs and counters, and whether the request is known not to have been executed."""
         self.label = label
         self.known_not_executed = known_not_executed
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a server reports of itself, of all balancers together.
+    """A server's report of its load from all balancers together.
 
-    `utilization` is the load asked of it over what it can do now, `connections` are those that it holds.
+    `utilization` is its requested load divided by its current capacity, `connections` the number of its connections.
     """
 
     utilization: float
@@ -82,7 +82,7 @@
 
 @dataclass(slots=True)
 class EndpointsChanged:
-    """The endpoint list changed, or could not be had."""
+    """The endpoint list changed, or could not be fetched."""
 
     scope: EndpointUpdateScope
     endpoints: tuple[Endpoint, ...] = ()
@@ -90,11 +90,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client asks for a connection. It is owed exactly one final answer.
+    """A client's request for a connection. It must get exactly one final answer.
 
     `time_left` is the time until its deadline, `load_hint` the load that the client expects, `affinity_key` a key of
-    the client, `retried_by_client` whether the client repeats a request, `reconnecting` whether it was
-    connected before.
+    the client, `retried_by_client` whether the client retries an earlier request, `reconnecting` whether the client
+    was connected before.
     """
 
     request_id: str
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class ConnectionEstablished:
-    """An attempt succeeded: the connection is open. `latency` counts from the start of the attempt."""
+    """An attempt established its connection, `latency` seconds after the start of the attempt."""
 
     request_id: str
     attempt: int
@@ -128,7 +128,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt, or the connection that came of it, ended. `finished`: the request has its final answer."""
+    """An attempt, or the connection that it established, ended. `finished`: the request has its final answer."""
 
     request_id: str
     attempt: int
@@ -140,14 +140,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing is owed any more."""
+    """The client disconnected and needs no answer."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A server answered a health check, or did not. `latency` is the time that this took."""
+    """A health check ended, with or without an answer, after `latency` seconds."""
 
     server: int
     outcome: Outcome
@@ -157,7 +157,7 @@
 
 @dataclass(slots=True)
 class ConnectionLoadReported:
-    """The load of an open connection is now `load`."""
+    """The load of an open connection changed to `load`."""
 
     request_id: str
     server: int
@@ -166,7 +166,7 @@
 
 @dataclass(slots=True)
 class ServerLatencyReported:
-    """A message currently takes `latency` seconds at a server, as seen on the connection of a request."""
+    """A message currently takes `latency` seconds at a server, as reported for the connection of a request."""
 
     request_id: str
     server: int
--- a/aspensaddle/core/protocols.py
+++ b/aspensaddle/core/protocols.py
@@ -1,4 +1,4 @@
-"""What a front end and a process provide to the driver."""
+"""Interfaces that a front end and a process implement for the driver."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class RequestHandler(Protocol):
-    """What holds a request in a front end."""
+    """A front end's object for one request."""
 
     def handle_action(self, action: RequestAction) -> None:
-        """Carry out what was decided for the request."""
+        """Carry out an action that the balancer decided for the request."""
 
     def client_is_connected(self) -> bool:
-        """Return whether the client still waits, by a new look at its connection where that is possible."""
+        """Return whether the client is still connected, checking its connection anew where that is possible."""
 
 
 class ProcessServices(Protocol):
-    """What a process does for its balancer beside the requests."""
+    """Services that a process provides to its balancer, other than the handling of requests."""
 
     def watch_endpoints(self) -> None:
-        """Watch the endpoint list from now on."""
+        """Start to watch the endpoint list."""
 
     def check_health(self, server: int) -> None:
         """Send a health check and report its result to the driver."""
 
     def timers_changed(self) -> None:
-        """Look at the timers again: one may now be due earlier."""
+        """Reschedule the next timer run: a timer may now be due earlier."""
--- a/aspensaddle/core/server_snapshot.py
+++ b/aspensaddle/core/server_snapshot.py
@@ -1,4 +1,4 @@
-"""What is known of a server, for the log."""
+"""Snapshots of servers for the log."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSnapshot:
-    """What is known of one server. `share` and `load` are in the units of the rotation, times in seconds."""
+    """Measurements of one server. `share` and `load` are in the units of the weighted rotation, times in seconds."""
 
     connections: int
     load: float
@@ -22,7 +22,7 @@
 
 
 def snapshot_servers(servers: Iterable[Server], now: float) -> dict[int, ServerSnapshot]:
-    """Return what is known of each server at the time `now`, by its number."""
+    """Return a snapshot of each server at the time `now`, by server number."""
     return {
         server.id: ServerSnapshot(
             connections=len(server.connections),
--- a/aspensaddle/core/settings.py
+++ b/aspensaddle/core/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the decisions: request classes, service rules and limits of a deployment.
+"""Settings of a balancer: request classes, service rules and limits of a deployment.
 
-Durations are seconds. Loads are work a second, in seconds of a standard core per second. How the platform writes the
-settings is in `aspensaddle/core/settings_parser.py`.
+Durations are in seconds, loads in standard core seconds per second. `aspensaddle/core/settings_parser.py` reads the
+settings in the format of the platform.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 
 class InvalidSettingError(ValueError):
-    """A setting whose value is outside its range.
+    """A setting has a value outside its range.
 
-    `setting` is the attribute path (`classes[0].deadline`), `value` what was found, `low` and `high` the range.
+    `setting` is the attribute path, such as `classes[0].deadline`; `low` and `high` are the allowed range.
     """
 
     def __init__(self, setting: str, value: float, low: float, high: float) -> None:
-        """Name the setting, what was found and what is allowed."""
+        """Store the setting, its value and the allowed range."""
         super().__init__(f"{setting}: {value!r} is not within {low} to {high}")
         self.setting = setting
         self.value = value
@@ -29,12 +29,12 @@
     """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENCY_KEY = "idempotency_key"  # the servers of a scope drop duplicates for a time
+    IDEMPOTENCY_KEY = "idempotency_key"  # the servers of a scope drop duplicates within a window
     NOT_IDEMPOTENT = "not_idempotent"
 
 
 class DeduplicationScope(Enum):
-    """The servers that together drop duplicates of a request with an idempotency key."""
+    """The set of servers that jointly drop duplicates of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -43,10 +43,11 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """Objectives of one class of requests, and how its requests may be retried.
+    """Objectives of one request class, and whether its requests may be retried.
 
-    `latency_objective` is the wanted time to establish a connection, `message_latency_objective` that of a message on
-    an established one, `deduplication_window` how long duplicates are dropped; all in seconds.
+    `latency_objective` is the target time to establish a connection, `message_latency_objective` the target latency
+    of a message on an established one, `deduplication_window` the time within which servers drop duplicates; all in
+    seconds.
     """
 
     latency_objective: float = 0.1
@@ -73,10 +74,10 @@
 
 @dataclass(slots=True)
 class ServiceRules:
-    """Figures of the rules that every balancer has to keep.
+    """Parameters of the service rules that every balancer must keep.
 
-    `overload_multiple` bounds what all balancers together send to a server that is warming up, within any
-    `overload_window` seconds, as a multiple of what it can do. `poll_interval` bounds the age of the endpoint list.
+    `overload_multiple` limits the load that all balancers together send to a server that is warming up, within any
+    `overload_window` seconds, as a multiple of its capacity. `poll_interval` limits the age of the endpoint list.
     """
 
     response_grace: float = 0.0
@@ -88,14 +89,14 @@
     poll_interval: float = 10.0
 
     def capacity_fraction(self, age: float) -> float:
-        """Return the least fraction of its capacity that a server has `age` seconds after its start."""
+        """Return the fraction of its capacity that a server has at least, `age` seconds after its start."""
         remaining = 1 - max(0.0, age) / self.slow_start_duration if self.slow_start_duration else 0.0
         return 1 - (1 - self.initial_capacity_fraction) * max(0.0, remaining)
 
 
 @dataclass(slots=True)
 class Limits:
-    """What the deployment allows. `connect_timeout` and `max_retry_after` are seconds."""
+    """Limits of the deployment. `connect_timeout` and `max_retry_after` are in seconds."""
 
     max_attempts: int = 6
     connect_timeout: float = 0.25
@@ -113,12 +114,12 @@
 class Settings:
     """All settings of one balancer.
 
-    `machine_types` are names by number, `core_speeds` the speed of a core of each (1 is a standard core),
-    `session_group_cost` what a server pays for each session group that it holds any of, in mean connection loads,
-    `tenant_connection_quotas` the connections of each tenant at all balancers together, and `health_check_price` what
-    one health check takes off the operators' score.
+    `machine_types` are the names of the machine types by index, `core_speeds` the core speed of each (1 is a standard
+    core). `session_group_cost` is what each session group with a connection at a server costs that server, in mean
+    connection loads. `tenant_connection_quotas` limit the connections of each tenant at all balancers together.
+    `health_check_price` is what one health check subtracts from the operators' score.
 
-    Raises `InvalidSettingError` on a value out of range, and `ValueError` without any class.
+    Raises `InvalidSettingError` for a value out of range, and `ValueError` without request classes.
     """
 
     classes: tuple[RequestClass, ...]
@@ -127,14 +128,14 @@
     balancer_index: int = 0
     balancer_count: int = 1
     polls_discovery: bool = False
-    pass_through: bool = False  # packets are passed on unread; connections outlive their balancer
+    pass_through: bool = False  # packets are forwarded unread; connections outlive the balancer process
     session_groups: bool = False
     servers_report_latency: bool = False
     machine_types: tuple[str, ...] = ()
     core_speeds: tuple[float, ...] = ()
     session_group_cost: float = 3.0
     weights_are_sizes: bool = True
-    live_weights: bool = False  # weights fall with the load held
+    live_weights: bool = False  # listed weights fall as the load of a server grows
     load_report_fields: tuple[str, ...] = ()
     tenant_connection_quotas: tuple[float, ...] = ()
     rules: ServiceRules = field(default_factory=ServiceRules)
@@ -142,7 +143,7 @@
     health_check_price: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the range of every value."""
+        """Check the ranges of the values."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for index, request_class in enumerate(self.classes):
--- a/aspensaddle/core/settings_parser.py
+++ b/aspensaddle/core/settings_parser.py
@@ -1,6 +1,6 @@
-"""Parser of the decisions' settings: maps the platform's field names to `Settings`.
+"""Parser of the balancer settings: maps the field names of the platform to `Settings`.
 
-The simulator's wire and the platform's configuration write the settings alike.
+The protocol of the simulator and the configuration of the platform use the same format for the settings.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     word,
 )
 
-IDEMPOTENCY_BY_WORD = {
+IDEMPOTENCY_BY_NAME = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.IDEMPOTENCY_KEY,
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPE_BY_WORD = {
+DEDUPLICATION_SCOPE_BY_NAME = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
@@ -64,13 +64,13 @@
 
 
 def parse_settings(message: Message) -> Settings:
-    """Return the settings that `message` gives. Unknown fields are ignored.
+    """Return the settings in `message`. Unknown fields are ignored.
 
-    Raises `DecodeError` naming the platform's field where a value is missing, of a wrong type or out of range.
+    Raises `DecodeError` with the field name of the platform if a value is missing, of a wrong type or out of range.
     """
     _check_unused_fields(message)
     try:
-        return _parse(message)
+        return _parse_fields(message)
     except InvalidSettingError as error:
         field = _platform_name(error.setting)
         raise DecodeError(f"{field}: {error.value!r} is not within {error.low} to {error.high}") from None
@@ -78,54 +78,54 @@
         raise DecodeError("lanes: at least one is needed") from None
 
 
-def _parse(message: Message) -> Settings:
-    family = obj(message, "family-info", {})
+def _parse_fields(message: Message) -> Settings:
+    family_info = obj(message, "family-info", {})
     weights = raw(message, "weights", "none")
     return Settings(
-        classes=_parse_classes(message, family),
+        classes=_parse_classes(message, family_info),
         zone=integer(message, "locality", 0),
         zone_count=max(1, len(array(message, "failure-domains", []))),
         balancer_index=integer(message, "index", 0),
         balancer_count=integer(message, "fleet-size", 1),
         polls_discovery=raw(message, "discovery", "pushed") == "on_request",
-        pass_through=raw(family, "mode", "proxy") == "pass",
-        session_groups=flag(family, "groups"),
-        servers_report_latency=flag(family, "tells-delay"),
-        machine_types=_words(message, "host-types"),
+        pass_through=raw(family_info, "mode", "proxy") == "pass",
+        session_groups=flag(family_info, "groups"),
+        servers_report_latency=flag(family_info, "tells-delay"),
+        machine_types=_parse_strings(message, "host-types"),
         weights_are_sizes=weights != "none",
         live_weights=weights == "live",
-        load_report_fields=_words(obj(message, "report", {}), "fields"),
-        tenant_connection_quotas=_parse_quotas(family),
+        load_report_fields=_parse_strings(obj(message, "report", {}), "fields"),
+        tenant_connection_quotas=_parse_quotas(family_info),
         rules=_parse_rules(obj(message, "guarantees", {})),
         limits=_parse_limits(obj(message, "limits", {})),
         health_check_price=number(obj(message, "tariffs", {}), "probe", 0.0),
     )
 
 
-def _parse_classes(message: Message, family: Message) -> tuple[RequestClass, ...]:
-    message_objectives = array(family, "message-aim", [])
+def _parse_classes(message: Message, family_info: Message) -> tuple[RequestClass, ...]:
+    message_objectives = array(family_info, "message-aim", [])
     classes = []
     for index, value in enumerate(array(message, "lanes")):
-        lane = as_object(value, "lanes")
+        class_fields = as_object(value, "lanes")
         try:
-            classes.append(_parse_class(lane, message_objectives[index : index + 1]))
+            classes.append(_parse_class(class_fields, message_objectives[index : index + 1]))
         except DecodeError as error:
             raise DecodeError(f"lanes[{index}].{error}") from None
     return tuple(classes)
 
 
-def _parse_class(lane: Message, message_objectives: list[Any]) -> RequestClass:
-    objective = number(lane, "aim")
+def _parse_class(class_fields: Message, message_objectives: list[Any]) -> RequestClass:
+    objective = number(class_fields, "aim")
     message_objective = objective
     for value in message_objectives:
         message_objective = number({"message-aim": value}, "message-aim")
     return RequestClass(
         latency_objective=objective,
-        deadline=number(lane, "deadline"),
-        priority_weight=number(lane, "worth", 1.0),
-        idempotency=word(lane, "repeat", IDEMPOTENCY_BY_WORD, Idempotency.IDEMPOTENT),
-        deduplication_scope=word(lane, "group", SCOPE_BY_WORD, DeduplicationScope.ALL),
-        deduplication_window=number(lane, "window", 5.0),
+        deadline=number(class_fields, "deadline"),
+        priority_weight=number(class_fields, "worth", 1.0),
+        idempotency=word(class_fields, "repeat", IDEMPOTENCY_BY_NAME, Idempotency.IDEMPOTENT),
+        deduplication_scope=word(class_fields, "group", DEDUPLICATION_SCOPE_BY_NAME, DeduplicationScope.ALL),
+        deduplication_window=number(class_fields, "window", 5.0),
         message_latency_objective=message_objective,
     )
 
@@ -152,17 +152,17 @@
     )
 
 
-def _parse_quotas(family: Message) -> tuple[float, ...]:
+def _parse_quotas(family_info: Message) -> tuple[float, ...]:
     name = "tenant-quota-connections"
-    return tuple(number({name: quota}, name, float("inf")) for quota in array(family, name, []))
+    return tuple(number({name: quota}, name, float("inf")) for quota in array(family_info, name, []))
 
 
-def _words(message: Message, name: str) -> tuple[str, ...]:
+def _parse_strings(message: Message, name: str) -> tuple[str, ...]:
     return tuple(str(value) for value in array(message, name, []))
 
 
 def _check_unused_fields(message: Message) -> None:
-    """Reject wrong values of fields that no decision reads, as those of the others are rejected."""
+    """Reject invalid values of fields that the balancer does not use, as those of used fields are rejected."""
     limits = obj(message, "limits", {})
     for name in ("may-duplicate", "cancel", "peers"):
         flag(limits, name)
@@ -178,7 +178,7 @@
 
 
 def _platform_name(setting: str) -> str:
-    """Return the platform's name of a settings path: `classes[0].deadline` is `lanes[0].deadline`."""
+    """Return the path of a setting in names of the platform: `classes[0].deadline` becomes `lanes[0].deadline`."""
     parts = []
     for part in setting.split("."):
         name, bracket, index = part.partition("[")
