--- a/tests/test_load_report_parser.py
+++ b/tests/test_load_report_parser.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import SETTINGS
-from test_driver import World
+from test_driver import DriverHarness
 from test_relay import relay
 
 from aspensaddle.core.actions import StartAttempt
@@ -77,9 +77,9 @@
 
 
 def test_a_runner_that_says_it_is_slow_gets_nothing_new():
-    w = World(settings=TELLS)
-    first = w.ask("first").actions[-1]
+    w = DriverHarness(settings=TELLS)
+    first = w.submit_request("first").actions[-1]
     assert isinstance(first, StartAttempt)
     w.driver.connection_established("first")
     w.driver.server_latency_reported("first", 0.4)
-    assert all(w.ask(f"r{i}").actions[-1].server != first.server for i in range(20))
+    assert all(w.submit_request(f"r{i}").actions[-1].server != first.server for i in range(20))
