--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,12 +21,12 @@
 )
 from aspensaddle.core.settings import Idempotency, Limits, RequestClass, ServiceRules, Settings
 
-CLASS = RequestClass(latency_objective=0.5, deadline=3.0, message_latency_objective=0.06)
+REQUEST_CLASS = RequestClass(latency_objective=0.5, deadline=3.0, message_latency_objective=0.06)
 SETTINGS = Settings(
     classes=(
-        CLASS,
-        replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY),
-        replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),
+        REQUEST_CLASS,
+        replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY),
+        replace(REQUEST_CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),
     ),
     rules=ServiceRules(0.016, 0.5, 0.2, 20.0, 3.0, 2.0, 10.0),
     limits=Limits(connect_timeout=0.1),
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
+from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 from hypothesis import strategies as st
 
 from aspensaddle.core.actions import Fail, Reject, StartAttempt
@@ -37,7 +37,7 @@
     Each event is a kind and a number that selects its details.
     """
     classes = tuple(
-        replace(CLASS, idempotency=value, deduplication_scope=scope, deduplication_window=1.5)
+        replace(REQUEST_CLASS, idempotency=value, deduplication_scope=scope, deduplication_window=1.5)
         for value in Idempotency
     )
     limits = Limits(max_attempts=4)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,7 +7,7 @@
 
 import hypothesis
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
+from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
@@ -187,9 +187,10 @@
 @pytest.mark.parametrize(
     "classes",
     [
-        (CLASS,),
+        (REQUEST_CLASS,),
         tuple(
-            replace(CLASS, idempotency=value, deduplication_scope=DeduplicationScope.CELL) for value in Idempotency
+            replace(REQUEST_CLASS, idempotency=value, deduplication_scope=DeduplicationScope.CELL)
+            for value in Idempotency
         ),
     ],
 )
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
+from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import Fail, Reject, RejectReason, StartAttempt
 from aspensaddle.core.events import Outcome, Request
@@ -85,7 +85,10 @@
 
 @pytest.mark.parametrize("group", list(DeduplicationScope))
 def test_keyed_retry_stays_in_the_deduplication_scope_of_the_first_server(group):
-    classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
+    classes = (
+        REQUEST_CLASS,
+        replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group),
+    )
     servers = [make_endpoint(n, zone=n % 2, cell=n % 4) for n in range(8)]
     for seed in range(10):
         harness = BalancerHarness(servers, settings=replace(SETTINGS, classes=classes, zone_count=2), seed=seed)
@@ -99,9 +102,9 @@
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window():
     classes = (
-        CLASS,
+        REQUEST_CLASS,
         replace(
-            CLASS,
+            REQUEST_CLASS,
             idempotency=Idempotency.IDEMPOTENCY_KEY,
             deduplication_scope=DeduplicationScope.ZONE,
             deduplication_window=0.5,
@@ -120,7 +123,10 @@
         (DeduplicationScope.ZONE, Fail),
         (DeduplicationScope.CELL, Fail),
     ):
-        classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
+        classes = (
+            REQUEST_CLASS,
+            replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group),
+        )
         harness = BalancerHarness(1, settings=replace(SETTINGS, classes=classes, limits=Limits(max_attempts=1)))
         _, answer = two_attempts(harness, KEYED, Outcome.ERROR)
         assert isinstance(answer, final)
@@ -141,14 +147,14 @@
 
 def keyed_class(scope: DeduplicationScope, window: float = 5.0) -> RequestClass:
     return replace(
-        CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope, deduplication_window=window
+        REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope, deduplication_window=window
     )
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_any_server_may_be_tried_while_no_attempt_may_have_been_executed(idempotency):
     request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
-    assert may_retry_on(1.0, request, replace(CLASS, idempotency=idempotency), OTHER_ZONE)
+    assert may_retry_on(1.0, request, replace(REQUEST_CLASS, idempotency=idempotency), OTHER_ZONE)
 
 
 @pytest.mark.parametrize(
@@ -175,8 +181,8 @@
 
 def test_possibly_executed_request_is_retried_anywhere_if_idempotent_and_nowhere_if_not():
     request = possibly_executed_request()
-    not_idempotent = replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
-    assert may_retry_on(100.0, request, CLASS, OTHER_ZONE)
+    not_idempotent = replace(REQUEST_CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
+    assert may_retry_on(100.0, request, REQUEST_CLASS, OTHER_ZONE)
     assert not may_retry_on(0.0, request, not_idempotent, FIRST_SERVER)
 
 
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, make_endpoint
+from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.events import Outcome, Request
 from aspensaddle.core.request_state import RequestState
@@ -39,7 +39,9 @@
 
 
 def test_server_outside_the_deduplication_scope_may_not_be_attempted():
-    keyed = replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ZONE)
+    keyed = replace(
+        REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=DeduplicationScope.ZONE
+    )
     settings: Settings = replace(SETTINGS, classes=(keyed,), zone_count=2)
     harness = BalancerHarness(
         [make_endpoint(1, zone=0), make_endpoint(2, zone=0), make_endpoint(3, zone=1)], settings
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers: the order in which they fire."""
+"""The timer queue: when timers fire, and in which order."""
 
 from aspensaddle.core.timers import TimerQueue
 
@@ -15,11 +15,11 @@
         timers.set(due_at, timer)
     assert timers.next_due_at() == 1.0
     assert list(timers.pop_due(0.999)) == []
-    assert list(timers.pop_due(2.0)) == ["early", "middle"]  # due at the time itself
+    assert list(timers.pop_due(2.0)) == ["early", "middle"]  # a timer fires at its due time, not only after it
     assert timers.next_due_at() == 3.0
 
 
-def test_timers_due_at_one_time_fire_in_the_order_in_which_they_were_set():
+def test_timers_due_at_the_same_time_fire_in_the_order_in_which_they_were_set():
     timers = TimerQueue()
     for timer in ("z", "a", "m"):
         timers.set(1.0, timer)
@@ -33,7 +33,7 @@
     assert list(timers.pop_due(1.0)) == ["tick", "tick"]
 
 
-def test_timer_that_is_set_while_others_fire_fires_too_if_it_is_due():
+def test_timer_that_is_set_while_others_fire_also_fires_if_it_is_due():
     timers = TimerQueue()
     timers.set(1.0, "first")
     fired = []
