--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -112,9 +112,8 @@
     def _started(self, now: float, event: Started) -> list[Action]:
         # The first tick is at a random time: balancers that tick together would cut the same server's ratio together.
         tick = SetTimer(TICK_TIMER, self.state.random.uniform(0.0, TICK_SECONDS))
-        watch = (
-            self.membership.first_watch()
-        )  # always created: it draws a random number, and a seed must give one sequence
+        # Always created: it draws a random number, and a seed must give the same sequence with any settings.
+        watch = self.membership.first_watch()
         return [tick, watch] if self.state.settings.polls_discovery else [tick]
 
     def _timer_fired(self, now: float, event: TimerFired) -> list[Action]:
@@ -187,7 +186,10 @@
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
-        """Return how many servers the session group is kept on; 0 without a group or with many connections."""
+        """Return how many servers a session group is kept on; 0 if its affinity does not follow from the list alone.
+
+        It does while this balancer has few connections.
+        """
         group = request.request.session_group
         if group is None or not self.state.has_few_connections:
             return 0
--- a/aspensaddle/core/balancer_state.py
+++ b/aspensaddle/core/balancer_state.py
@@ -72,7 +72,10 @@
 
     @property
     def has_few_connections(self) -> bool:
-        """Whether this is one of many balancers and has less than one request or connection per ready server."""
+        """Whether this is one of many balancers and has less than one request or connection per ready server.
+
+        Such a balancer sees little of the load of the servers.
+        """
         return self.many_balancers_weight > 0 and len(self.requests) < self.ready_count
 
     def pools_of(self, server: Server) -> tuple[ServerPool, ...]:
--- a/aspensaddle/core/request_state.py
+++ b/aspensaddle/core/request_state.py
@@ -28,6 +28,6 @@
         self.possibly_executed_on: Server | None = None  # server of the first attempt that may have been executed
         self.possibly_executed_at = 0.0  # start of that attempt
         self.utilization_limit = 1.0  # highest utilization of a server that may be selected
-        self.preferred_server_count = 0  # number of servers its session group is kept on; 0 without that affinity
+        self.preferred_server_count = 0  # servers that the list alone gives its session group; 0: none
         self.slow_start_draw = 0.0  # one random number for all warming servers that are considered; 0: not drawn
         self.no_server_reason = RejectReason.NO_AVAILABLE_SERVER  # why no server was found
