--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: takes events, asks the rules in order and returns their actions.
+"""The balancer: handles events by applying its rules in order, and returns the actions that follow.
 
 `docs/architecture.md` lists the rules with their modules and their order.
 """
@@ -45,18 +45,18 @@
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 TICK_TIMER = "tick"
-WARM_UP_REFRESH_TICKS = 2  # shares follow the warm-up every second tick, which spares processor time
+WARM_UP_REFRESH_TICKS = 2  # updating the shares of warming servers only every second tick saves CPU time
 
 
 class Balancer:
-    """Decides for one balancer, free of I/O and clocks.
+    """The load balancing decisions of one balancer, without I/O and without a clock of its own.
 
     `handle` takes the time in seconds and an event and returns the actions to carry out, in order. Events for unknown
     requests and servers are ignored.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without servers and requests. The same seed and events give the same actions."""
+        """Create a balancer without servers and requests. The same seed and events give the same actions."""
         self.state = BalancerState(settings, seed)
         self.rotation = WeightedRotation(self.state)
         self.passive_measurement = PassiveMeasurement(self.state, self.rotation)
@@ -99,7 +99,7 @@
         return record is not None and self.state.is_confirmed(now, record)
 
     def configure(self, settings: Settings) -> None:
-        """Use other settings from now on. Classes and zones keep their numbers."""
+        """Replace the settings. The indexes of request classes and zones must keep their meaning."""
         self.state.configure(settings)
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -110,9 +110,10 @@
     # ------------------------------------------------------------ timers and endpoint list
 
     def _started(self, now: float, event: Started) -> list[Action]:
-        # Drawn, because balancers that tick together would cut the same server together.
+        # The first tick is at a random time: balancers that tick together would cut the same server's ratio together.
         tick = SetTimer(TICK_TIMER, self.state.random.uniform(0.0, TICK_SECONDS))
-        watch = self.membership.first_watch()  # drawn even if unused: one seed, one sequence of draws
+        # Always created: it draws a random number, and a seed must give the same sequence with any settings.
+        watch = self.membership.first_watch()
         return [tick, watch] if self.state.settings.polls_discovery else [tick]
 
     def _timer_fired(self, now: float, event: TimerFired) -> list[Action]:
@@ -121,7 +122,7 @@
         return [WatchEndpoints()] if event.timer == WATCH_TIMER else []
 
     def _tick(self, now: float) -> list[Action]:
-        """Run the periodic rules. Their order matters: readmitted servers are placed by the refresh after it."""
+        """Run the periodic rules. Their order matters: the refresh places servers that were readmitted before."""
         self.passive_measurement.cut_worst(now)
         self.outlier_ejection.readmit_recovered(now)
         self.latency_outliers.clear_stale_marks(now)
@@ -133,7 +134,7 @@
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
         self.accounting.smooth_typical_load()
-        # Pending ratio increases can wait for the end of a window, a changed list cannot.
+        # A changed list is applied at once; pending ratio increases wait until the measurement window ends.
         if self.rotation.needs_rebuild or (
             not self.passive_measurement.slot and self.rotation.pending_ratio_increase
         ):
@@ -180,7 +181,7 @@
         if server is None:
             return self._give_up(request, give_up_reason(request, time_left, limits))
         request.attempts += 1
-        request.attempt_sent_at = now
+        request.attempt_started_at = now
         request.server = server
         request.tried_servers = [*request.tried_servers, server.id]
         server.last_attempt_at = now
@@ -189,14 +190,17 @@
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
-        """Return on how many servers the list alone keeps the request's group; 0 where it does not."""
+        """Return how many servers a session group is kept on; 0 if its affinity does not follow from the list alone.
+
+        It does while this balancer has few connections.
+        """
         group = request.request.session_group
-        if group is None or not self.state.sees_little:
+        if group is None or not self.state.has_few_connections:
             return 0
         return self.state.session_groups.preferred_server_count(group, self.state.ready_count)
 
     def _give_up(self, request: RequestState, reason: RejectReason) -> list[Action]:
-        """Give the final answer of a request that is not placed: rejected if the client may retry, else failed."""
+        """Give the final answer to a request that was not placed: reject it if the client may retry, else fail it."""
         request_id = request.request.request_id
         del self.state.requests[request_id]
         request_class = self.state.settings.classes[request.request.class_index]
@@ -210,14 +214,14 @@
             return []
         if request.attempts != event.attempt + 1:
             return []
-        self._accept(now, request, request.server, event.latency)
+        self._mark_established(now, request, request.server, event.latency)
         request.server.connections[event.request_id] = request
         return []
 
-    def _accept(self, now: float, request: RequestState, server: Server, latency: float) -> None:
+    def _mark_established(self, now: float, request: RequestState, server: Server, latency: float) -> None:
         request.is_established = True
         request.established_at = now
-        server.accepted_at = request.attempt_sent_at
+        server.accepted_at = request.attempt_started_at
         self.outlier_ejection.attempt_accepted(now, server)
         objective = self.state.settings.classes[request.request.class_index].latency_objective
         self.passive_measurement.count(server, accepted=latency <= objective)
@@ -229,7 +233,7 @@
         server = request.server
         self._release(request, server)
         if event.outcome is Outcome.OK and not request.is_established:
-            self._accept(now, request, server, event.latency)
+            self._mark_established(now, request, server, event.latency)
         elif event.outcome not in NEUTRAL_OUTCOMES:
             self.passive_measurement.count(server, accepted=False)
             self.outlier_ejection.attempt_failed(now, request, server, event.outcome)
@@ -238,7 +242,7 @@
             return []
         if not event.outcome.known_not_executed and request.possibly_executed_on is None:
             request.possibly_executed_on = server
-            request.possibly_executed_at = request.attempt_sent_at
+            request.possibly_executed_at = request.attempt_started_at
         return self._attempt(now, request)
 
     def _release(self, request: RequestState, server: Server) -> None:
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -64,11 +64,11 @@
             server.is_ready and state.capacity_fraction(now, server) < 1.0 for server in state.servers.values()
         )
         observed, slow = self._count_observed(now)
-        assumed = ASSUMED_NOT_SLOW_SERVERS + ASSUMED_NOT_SLOW_SERVERS_SPARSE * state.sees_little
+        assumed = ASSUMED_NOT_SLOW_SERVERS + ASSUMED_NOT_SLOW_SERVERS_SPARSE * state.has_few_connections
         for pool in (state.local_pool, state.fleet_pool):
             pool.slow_fraction = slow[pool] / (observed[pool] + assumed)
         observed_fraction = observed[state.fleet_pool] / max(1, state.ready_count)
-        state.unseen_weight = state.many_balancers_weight * max(0.0, 1 - observed_fraction)
+        state.unobserved_weight = state.many_balancers_weight * max(0.0, 1 - observed_fraction)
 
     def _count_observed(self, now: float) -> tuple[Counter[ServerPool], Counter[ServerPool]]:
         """Return by pool how many servers hold connections of this balancer, and how many of these are slow.
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -7,7 +7,7 @@
 from math import sqrt
 from random import Random
 
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import Action, Fail, Reject, StartAttempt
 from aspensaddle.core.events import ConnectionLoadReported, Endpoint, Outcome, ServerLatencyReported
@@ -37,7 +37,7 @@
 
 
 def large_fleet(count: int, weight: float = 2.0, **more: object) -> list[Endpoint]:
-    return [entry(n, weight=weight, **more) for n in range(count)]
+    return [make_endpoint(n, weight=weight, **more) for n in range(count)]
 
 
 def harnesses_in_lock_step(
@@ -49,7 +49,7 @@
 def place_on_each(harnesses: list[BalancerHarness], server: int) -> Iterator[tuple[BalancerHarness, StartAttempt]]:
     """Place one more connection through each balancer; yield those that went to `server`."""
     for harness in harnesses:
-        (attempt,) = harness.ask(load_hint=LOAD)
+        (attempt,) = harness.submit_request(load_hint=LOAD)
         if isinstance(attempt, StartAttempt):
             harness.establish(attempt)
             if attempt.server == server:
@@ -86,8 +86,8 @@
     Return for each joining server its ages, in seconds, at which it was sent a connection.
     """
     rng, now, servers = Random(count), 1000.0, OLD_SERVER_COUNT + len(JOINING_STARTS)
-    entries = [entry(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
-    entries += [entry(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
+    entries = [make_endpoint(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
+    entries += [make_endpoint(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
     harnesses = [
         BalancerHarness([endpoint for endpoint in entries if not endpoint.started_at], settings, seed=n)
         for n in range(count)
@@ -105,7 +105,7 @@
                 *(endpoint for endpoint in entries if time <= endpoint.started_at + 2.0 < time + 0.5)
             )
         for harness in rng.choices(harnesses, balancer_weights, k=int(connection_rate * servers / 2)):
-            (attempt,) = harness.ask(
+            (attempt,) = harness.submit_request(
                 load_hint=LOAD, session_group=rng.choices(range(groups), group_weights)[0] if groups else None
             )
             if isinstance(attempt, StartAttempt):
@@ -162,7 +162,8 @@
         SETTINGS, balancer_count=fleet.balancers, session_groups=fleet.groups > 0, rules=fleet.rules, limits=Limits()
     )
     all_entries = [
-        entry(n, weight=WEIGHT, started_at=start if n < fleet.warming_servers else 0.0) for n in range(fleet.servers)
+        make_endpoint(n, weight=WEIGHT, started_at=start if n < fleet.warming_servers else 0.0)
+        for n in range(fleet.servers)
     ]
     warm_entries = all_entries[fleet.warming_servers :]
 
@@ -202,7 +203,7 @@
         for n in rng.choices(range(fleet.balancers), balancer_weights, k=count):
             harness = harnesses[n]
             group = rng.choices(range(fleet.groups), group_weights)[0] if fleet.groups else None
-            (attempt,) = harness.ask(load_hint=LOAD, session_group=group)
+            (attempt,) = harness.submit_request(load_hint=LOAD, session_group=group)
             if isinstance(attempt, StartAttempt):
                 harness.establish(attempt)
                 if attempt.server in sent:
@@ -257,7 +258,7 @@
 
         An attempt whose outcome is OK is established; without `rng` that is the first one.
         """
-        (action,) = self.ask(load_hint=LOAD, **more)
+        (action,) = self.submit_request(load_hint=LOAD, **more)
         while isinstance(action, StartAttempt):
             assert self.balancer.servers[action.server].is_ready and action.server in self.registry.addresses
             if (outcome := rng.choice(list(Outcome)) if rng else Outcome.OK) is Outcome.OK:
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import (
     HUNDREDS_OF_BALANCERS,
     LARGE_SERVER_COUNT,
@@ -106,9 +106,9 @@
 def test_clients_of_a_group_are_spread_by_weight_over_ready_servers_with_a_weight():
     entries = [
         *large_fleet(20),
-        *(entry(n, weight=4.0) for n in range(20, 30)),
-        entry(30, weight=0.0),
-        entry(31, weight=2.0, state=ServerState.DRAINING),
+        *(make_endpoint(n, weight=4.0) for n in range(20, 30)),
+        make_endpoint(30, weight=0.0),
+        make_endpoint(31, weight=2.0, state=ServerState.DRAINING),
     ]
     preferred = preferred_order(5, server_records(entries))
     clients_by_server = Counter(rendezvous_order(client, preferred)[0].id for client in range(3000))
@@ -149,7 +149,7 @@
     )
     assert len(before) <= 150 and len(before | restarted) <= 1.5 * len(before)
     half_replaced = [endpoint for endpoint in entries if endpoint.server % 2] + [
-        entry(100 + n, weight=2.0, started_at=900.0) for n in range(30)
+        make_endpoint(100 + n, weight=2.0, started_at=900.0) for n in range(30)
     ]
     after_replacement = place_all_clients(
         [BalancerHarness(half_replaced, SESSION_GROUP_SETTINGS, seed=2000 + n) for n in range(200)]
@@ -160,11 +160,11 @@
 
 def test_reconnecting_client_is_rejected_while_its_preferred_server_warms_up():
     """Otherwise the load that the servers warming up cannot bear yet would overload the warm ones."""
-    entries = [entry(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
+    entries = [make_endpoint(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
 
     def ask_for_all_clients(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
         actions = [
-            harness.ask(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
+            harness.submit_request(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
             for n in range(1, 11)
             for _ in range(10)
             if not harness.balancer.requests.clear()
@@ -193,9 +193,11 @@
 
 def test_groups_of_a_single_client_and_requests_without_an_affinity_key_are_placed():
     harness = BalancerHarness(large_fleet(60), SESSION_GROUP_SETTINGS)
-    assert all(isinstance(harness.ask(session_group=n, load_hint=0.01)[0], StartAttempt) for n in range(300))
+    assert all(
+        isinstance(harness.submit_request(session_group=n, load_hint=0.01)[0], StartAttempt) for n in range(300)
+    )
     # Requests without an affinity key are not tied to one of the preferred servers.
-    assert len({harness.ask(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
+    assert len({harness.submit_request(session_group=5, load_hint=0.01)[0].server for _ in range(100)}) > 1
 
 
 @pytest.mark.parametrize("load", [0.0, 0.05])
@@ -205,10 +207,14 @@
     harness = BalancerHarness(large_fleet(20), replace(SESSION_GROUP_SETTINGS, rules=rules))
     for n in range(12):
         place_with_reported_load(harness, load)
-        harness.update_endpoints(entry(n, weight=0.0), entry(19 - n % 4, weight=2.0, started_at=harness.now))
+        harness.update_endpoints(
+            make_endpoint(n, weight=0.0), make_endpoint(19 - n % 4, weight=2.0, started_at=harness.now)
+        )
         harness.tick()
         actions = [
-            harness.ask(affinity_key=key, session_group=key % 7, load_hint=load, reconnecting=key % 2 == 0)[0]
+            harness.submit_request(
+                affinity_key=key, session_group=key % 7, load_hint=load, reconnecting=key % 2 == 0
+            )[0]
             for key in range(1, 30)
         ]
         assert (
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -5,13 +5,13 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import LOAD, MANY_BALANCERS, MANY_BALANCERS_SETTINGS, SERVER_COUNT
 
 from aspensaddle.core.balancer_state import BalancerState
 from aspensaddle.core.locality import MAX_LOCAL_LOAD_PER_CORE, MAX_LOCAL_LOAD_RATIO, prefers_local_zone
 
-TWO_ZONES = [entry(n, zone=n % 2) for n in range(10)]
+TWO_ZONES = [make_endpoint(n, zone=n % 2) for n in range(10)]
 
 
 def test_local_zone_is_preferred_while_its_load_is_within_the_limits():
@@ -20,7 +20,7 @@
 
 
 def test_small_local_zone_is_not_overloaded_by_its_own_clients():
-    servers = [entry(0, zone=0)] + [entry(n, zone=1) for n in range(1, 10)]
+    servers = [make_endpoint(0, zone=0)] + [make_endpoint(n, zone=1) for n in range(1, 10)]
     harness = BalancerHarness(servers, settings=replace(SETTINGS, zone_count=2))
     local_connections = sum(harness.place().server == 0 for _ in range(40))
     # The limit is MAX_LOCAL_LOAD_RATIO (1.25) x 2 zones x a tenth of the shares: 10 of 40 connections.
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(("count", "local"), [(2, True), (MANY_BALANCERS, False)])
 def test_local_zone_is_preferred_by_the_estimated_load_of_all_balancers(count, local):
     """Each of forty balancers sees only a fortieth of the load of its zone."""
-    servers = [entry(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
+    servers = [make_endpoint(n, zone=n % 2) for n in range(1, SERVER_COUNT + 1)]
     harness = BalancerHarness(servers, replace(MANY_BALANCERS_SETTINGS, balancer_count=count, zone_count=2, zone=0))
     zones = [harness.balancer.servers[harness.place(load_hint=LOAD).server].zone for _ in range(16)]
     assert (set(zones) == {0}) is local
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, listed_target
 
 from aspensaddle.core.actions import Reject, SetTimer, StartAttempt, WatchEndpoints
@@ -18,7 +18,7 @@
 
 def test_complete_list_removes_servers_that_it_does_not_contain():
     harness = BalancerHarness(3)
-    harness.update_endpoints(entry(1), entry(2), scope=EndpointUpdateScope.COMPLETE)
+    harness.update_endpoints(make_endpoint(1), make_endpoint(2), scope=EndpointUpdateScope.COMPLETE)
     assert {harness.place().server for _ in range(6)} == {1, 2}
 
 
@@ -40,8 +40,8 @@
     """Guards against records that grow with every server that was ever listed."""
     harness = BalancerHarness(3)
     attempts = [harness.place() for _ in range(6)]
-    harness.gone(1)
-    harness.update_endpoints(entry(2), scope=EndpointUpdateScope.COMPLETE)
+    harness.withdraw_server(1)
+    harness.update_endpoints(make_endpoint(2), scope=EndpointUpdateScope.COMPLETE)
     assert list(harness.balancer.servers) == [2]
     for attempt in attempts:
         harness.end(attempt, Outcome.CONNECTION_LOST, finished=True)
@@ -54,12 +54,14 @@
     """Guards against a server that looks empty when it returns, because its open connections were forgotten."""
     harness = BalancerHarness(8)
     attempts = [harness.place() for _ in range(80)]
-    servers = [entry(n) for n in range(1, 9)]
+    servers = [make_endpoint(n) for n in range(1, 9)]
     for first_is_listed in (False, True):
         if scope is EndpointUpdateScope.COMPLETE:
             harness.update_endpoints(*servers[not first_is_listed :], scope=scope)
         else:
-            harness.update_endpoints(entry(1, state=ServerState.READY if first_is_listed else ServerState.GONE))
+            harness.update_endpoints(
+                make_endpoint(1, state=ServerState.READY if first_is_listed else ServerState.GONE)
+            )
         harness.tick()
     later_attempts = [harness.place() for _ in range(24)]
     connections = Counter(attempt.server for attempt in attempts + later_attempts)
@@ -77,7 +79,7 @@
     """Guards against a total load that falls below the sum of the loads of the listed servers."""
     harness = BalancerHarness(4)
     attempts = [harness.place() for _ in range(40)]
-    harness.gone(1)
+    harness.withdraw_server(1)
     harness.tick()
     for attempt in attempts:
         if attempt.server == 1:
@@ -90,9 +92,9 @@
 def test_every_request_is_answered_while_lists_are_empty_shrink_grow_or_repeat(count):
     settings = replace(SETTINGS, balancer_count=count)
     harness = BalancerHarness(SERVER_COUNT, settings)
-    old = [entry(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
-    new = [entry(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
-    leaving = [entry(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
+    old = [make_endpoint(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
+    new = [make_endpoint(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
+    leaving = [make_endpoint(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
     for scope, entries, is_placed in (
         (EndpointUpdateScope.COMPLETE, [], False),
         (EndpointUpdateScope.COMPLETE, old, True),
@@ -105,7 +107,7 @@
     ):
         harness.update_endpoints(*entries, scope=scope)
         for _ in range(3):
-            (action,) = harness.ask(load_hint=LOAD)
+            (action,) = harness.submit_request(load_hint=LOAD)
             if isinstance(action, StartAttempt):
                 assert action.server in harness.balancer.servers
                 harness.establish(action)
@@ -116,14 +118,14 @@
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
 def test_draining_or_gone_server_gets_no_attempt(state):
     harness = BalancerHarness(3)
-    harness.gone(2, state)
+    harness.withdraw_server(2, state)
     assert all(harness.place(session_group=g).server != 2 for g in range(30))
 
 
 def test_server_that_returns_to_the_list_is_used_again():
     harness = BalancerHarness(2)
-    harness.gone(2)
-    harness.update_endpoints(entry(2))
+    harness.withdraw_server(2)
+    harness.update_endpoints(make_endpoint(2))
     assert {harness.place().server for _ in range(6)} == {1, 2}
 
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import (
     HUNDREDS_OF_BALANCERS,
     LARGE_SERVER_COUNT,
@@ -135,7 +135,7 @@
 ):
     """A twentieth of the connections may cause most of the load, and one of them is as cheap to migrate as a light one."""
     harness = BalancerHarness(
-        [entry(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
+        [make_endpoint(n, weight=cores) for n in range(LARGE_SERVER_COUNT)], replace(SETTINGS, balancer_count=count)
     )
     lose_connections(harness, lost_connections)
     light = [place_with_reported_load(harness, 0.02) for _ in range(4)]
@@ -169,7 +169,9 @@
     for _ in range(3):
         assert not [action for action in harness.tick() if isinstance(action, Migrate)]
     unavailable = [
-        entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60) if n not in {heavy.server} and n % 3 == 0
+        make_endpoint(n, weight=2.0, state=ServerState.DRAINING)
+        for n in range(60)
+        if n not in {heavy.server} and n % 3 == 0
     ]
     harness.update_endpoints(
         *(
@@ -182,9 +184,11 @@
     assert (heavy.request_id in migrated) is migrates and not migrated & {
         attempt.request_id for attempt in light if attempt.server % 3
     }
-    answers = [harness.ask(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
+    answers = [harness.submit_request(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
     rejected_reconnects = sum(
         isinstance(action, Reject) and action.reason is RejectReason.RETRY_STORM for action in answers
     )
     assert (60 <= rejected_reconnects <= 150) if migrates else not rejected_reconnects
-    assert not any(isinstance(harness.ask(load_hint=0.02)[0], Reject) for _ in range(50))  # clients that are new
+    assert not any(
+        isinstance(harness.submit_request(load_hint=0.02)[0], Reject) for _ in range(50)
+    )  # clients that are new
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import BalancerHarness, entry
+from helpers import BalancerHarness, make_endpoint
 from lock_step import SESSION_GROUP_SETTINGS, large_fleet
 
 from aspensaddle.core.actions import StartAttempt
@@ -15,13 +15,13 @@
 
 def test_unreachable_server_is_ejected_and_gets_one_half_open_attempt():
     harness = BalancerHarness(3)
-    (attempt,) = harness.ask()
+    (attempt,) = harness.submit_request()
     harness.end(attempt, Outcome.UNREACHABLE)
     assert all(harness.place().server != attempt.server for _ in range(9))
     harness.now += 2.0
     harness.tick(0.0)
     half_open_attempts = [
-        action for action in (harness.ask()[0] for _ in range(9)) if action.server == attempt.server
+        action for action in (harness.submit_request()[0] for _ in range(9)) if action.server == attempt.server
     ]
     assert len(half_open_attempts) == 1
     harness.end(half_open_attempts[0], Outcome.UNREACHABLE)
@@ -30,7 +30,7 @@
 
 def test_accepted_half_open_attempt_ends_the_ejection():
     harness = BalancerHarness(2)
-    (attempt,) = harness.ask()
+    (attempt,) = harness.submit_request()
     harness.end(attempt, Outcome.UNREACHABLE)
     harness.now += 2.0
     harness.tick(0.0)
@@ -77,7 +77,7 @@
     harness = BalancerHarness(4)
     failures = 0
     for _ in range(40):
-        (action,) = harness.ask()
+        (action,) = harness.submit_request()
         while action.server == 1:
             failures += 1
             (action,) = harness.end(action, Outcome.ERROR)
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(("count", "avoided"), [(2, False), (200, True)])
 def test_server_that_lost_a_connection_is_avoided_by_its_session_groups_for_a_time(count, avoided):
     """Guards against clients that all reconnect to the server that lost them before it has recovered."""
-    leaving = [entry(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
+    leaving = [make_endpoint(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
     harness = BalancerHarness([*large_fleet(60), *leaving], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     first = harness.place(affinity_key=7, session_group=3)
     harness.tick(3.0)
@@ -106,7 +106,7 @@
     """Return the servers of one request for each affinity key. Each request ends at once and leaves no load."""
     chosen = set()
     for key in keys:
-        (attempt,) = harness.ask(affinity_key=key, session_group=group)
+        (attempt,) = harness.submit_request(affinity_key=key, session_group=group)
         assert isinstance(attempt, StartAttempt)
         chosen.add(attempt.server)
         harness.balancer.handle(harness.now, ClientDisconnected(attempt.request_id))
@@ -115,7 +115,7 @@
 
 def harness_with_lost_connection(draining_servers: int) -> tuple[BalancerHarness, int]:
     """Return a harness that has just lost its only connection of session group 3, and the server that lost it."""
-    draining = [entry(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
+    draining = [make_endpoint(60 + n, weight=2.0, state=ServerState.DRAINING) for n in range(draining_servers)]
     harness = BalancerHarness([*large_fleet(60), *draining], SESSION_GROUP_SETTINGS)
     connection = harness.place(affinity_key=7, session_group=3)
     harness.tick(3.0)  # the connection holds, so its loss does not count as a failed attempt
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import CLASS, SETTINGS, BalancerHarness, entry
+from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 
 from aspensaddle.core.actions import Fail, Reject, RejectReason, StartAttempt
 from aspensaddle.core.events import Outcome, Request
@@ -17,8 +17,8 @@
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 
-def two_attempts(harness: BalancerHarness, cls: int, outcome: Outcome):
-    (send,) = harness.ask(cls=cls)
+def two_attempts(harness: BalancerHarness, class_index: int, outcome: Outcome):
+    (send,) = harness.submit_request(class_index=class_index)
     (answer,) = harness.end(send, outcome)
     return send, answer
 
@@ -26,7 +26,7 @@
 def test_attempts_are_bounded_where_every_server_rejects():
     harness = BalancerHarness(30)
     for _ in range(100):
-        (a,) = harness.ask()
+        (a,) = harness.submit_request()
         sends = 0
         while isinstance(a, StartAttempt):
             sends += 1
@@ -36,13 +36,13 @@
 
 def test_attempt_timeout_is_the_time_left_of_the_client():
     harness = BalancerHarness(1)
-    (send,) = harness.ask(left=1.2)
+    (send,) = harness.submit_request(time_left=1.2)
     assert send.timeout == pytest.approx(1.2)
 
 
 def test_no_retry_after_the_deadline():
     harness = BalancerHarness(3)
-    (send,) = harness.ask(left=1.0)
+    (send,) = harness.submit_request(time_left=1.0)
     harness.now += 1.0
     (answer,) = harness.end(send, Outcome.TIMED_OUT)
     assert isinstance(answer, (Fail, Reject))
@@ -51,7 +51,7 @@
 
 def test_single_server_that_rejects_ends_in_a_rejection():
     harness = BalancerHarness(1)
-    (action,) = harness.ask()
+    (action,) = harness.submit_request()
     sends = 1
     while isinstance(action, StartAttempt):
         (action,) = harness.end(action, Outcome.REJECTED)
@@ -62,7 +62,7 @@
 
 def test_no_more_attempts_than_allowed():
     harness = BalancerHarness(8, settings=replace(SETTINGS, limits=Limits(max_attempts=3)))
-    (action,) = harness.ask()
+    (action,) = harness.submit_request()
     for _ in range(2):
         (action,) = harness.end(action, Outcome.UNREACHABLE)
         assert isinstance(action, StartAttempt)
@@ -85,8 +85,11 @@
 
 @pytest.mark.parametrize("group", list(DeduplicationScope))
 def test_keyed_retry_stays_in_the_deduplication_scope_of_the_first_server(group):
-    classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
-    servers = [entry(n, zone=n % 2, cell=n % 4) for n in range(8)]
+    classes = (
+        REQUEST_CLASS,
+        replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group),
+    )
+    servers = [make_endpoint(n, zone=n % 2, cell=n % 4) for n in range(8)]
     for seed in range(10):
         harness = BalancerHarness(servers, settings=replace(SETTINGS, classes=classes, zone_count=2), seed=seed)
         send, again = two_attempts(harness, KEYED, Outcome.TIMED_OUT)
@@ -99,16 +102,16 @@
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window():
     classes = (
-        CLASS,
+        REQUEST_CLASS,
         replace(
-            CLASS,
+            REQUEST_CLASS,
             idempotency=Idempotency.IDEMPOTENCY_KEY,
             deduplication_scope=DeduplicationScope.ZONE,
             deduplication_window=0.5,
         ),
     )
     harness = BalancerHarness(4, settings=replace(SETTINGS, classes=classes))
-    (send,) = harness.ask(cls=KEYED)
+    (send,) = harness.submit_request(class_index=KEYED)
     harness.now += 0.5
     (answer,) = harness.end(send, Outcome.CONNECTION_LOST)
     assert isinstance(answer, Fail)
@@ -120,16 +123,19 @@
         (DeduplicationScope.ZONE, Fail),
         (DeduplicationScope.CELL, Fail),
     ):
-        classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
+        classes = (
+            REQUEST_CLASS,
+            replace(REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group),
+        )
         harness = BalancerHarness(1, settings=replace(SETTINGS, classes=classes, limits=Limits(max_attempts=1)))
         _, answer = two_attempts(harness, KEYED, Outcome.ERROR)
         assert isinstance(answer, final)
 
 
-FIRST_SERVER = Server(entry(1, zone=0, cell=0), 0.0)
-SAME_CELL = Server(entry(2, zone=0, cell=0), 0.0)
-SAME_ZONE = Server(entry(3, zone=0, cell=1), 0.0)
-OTHER_ZONE = Server(entry(4, zone=1, cell=2), 0.0)
+FIRST_SERVER = Server(make_endpoint(1, zone=0, cell=0), 0.0)
+SAME_CELL = Server(make_endpoint(2, zone=0, cell=0), 0.0)
+SAME_ZONE = Server(make_endpoint(3, zone=0, cell=1), 0.0)
+OTHER_ZONE = Server(make_endpoint(4, zone=1, cell=2), 0.0)
 
 
 def possibly_executed_request(executed_at: float = 0.0) -> RequestState:
@@ -141,14 +147,14 @@
 
 def keyed_class(scope: DeduplicationScope, window: float = 5.0) -> RequestClass:
     return replace(
-        CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope, deduplication_window=window
+        REQUEST_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope, deduplication_window=window
     )
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_any_server_may_be_tried_while_no_attempt_may_have_been_executed(idempotency):
     request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
-    assert may_retry_on(1.0, request, replace(CLASS, idempotency=idempotency), OTHER_ZONE)
+    assert may_retry_on(1.0, request, replace(REQUEST_CLASS, idempotency=idempotency), OTHER_ZONE)
 
 
 @pytest.mark.parametrize(
@@ -175,8 +181,8 @@
 
 def test_possibly_executed_request_is_retried_anywhere_if_idempotent_and_nowhere_if_not():
     request = possibly_executed_request()
-    not_idempotent = replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
-    assert may_retry_on(100.0, request, CLASS, OTHER_ZONE)
+    not_idempotent = replace(REQUEST_CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
+    assert may_retry_on(100.0, request, REQUEST_CLASS, OTHER_ZONE)
     assert not may_retry_on(0.0, request, not_idempotent, FIRST_SERVER)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from load_report_harness import HEALTH_CHECK_SETTINGS, report_load
 from lock_step import (
     BALANCER_COUNTS,
@@ -39,7 +39,7 @@
 def test_many_balancers_fill_a_warming_server_within_its_limit():
     """Each of 40 balancers carries too little load to estimate the capacity of a server by it."""
     rules, now, cores = SETTINGS.rules, 1000.0, 2.0
-    servers = [entry(n, weight=cores, started_at=now if n == 1 else 0.0) for n in range(1, SERVER_COUNT + 1)]
+    servers = [make_endpoint(n, weight=cores, started_at=now if n == 1 else 0.0) for n in range(1, SERVER_COUNT + 1)]
     harnesses, sent = harnesses_in_lock_step(servers), 0.0
     for second in range(int(rules.slow_start_duration)):
         sent += LOAD * len(list(place_on_each(harnesses[:8], 1)))  # a few of them at a time, as clients connect
@@ -132,15 +132,17 @@
 
 
 def test_reject_reason_is_the_slow_start_limit_only_if_it_is_the_cause():
-    harness = BalancerHarness([entry(1, started_at=1000.0)], replace(SETTINGS, balancer_count=200, rules=RULES))
-    assert {action.reason for action in (harness.ask()[0] for _ in range(50)) if isinstance(action, Reject)} == {
-        RejectReason.SLOW_START_LIMIT
-    }
-    harness.update_endpoints(entry(2))
-    attempts = [harness.ask()[0] for _ in range(20)]
+    harness = BalancerHarness(
+        [make_endpoint(1, started_at=1000.0)], replace(SETTINGS, balancer_count=200, rules=RULES)
+    )
+    assert {
+        action.reason for action in (harness.submit_request()[0] for _ in range(50)) if isinstance(action, Reject)
+    } == {RejectReason.SLOW_START_LIMIT}
+    harness.update_endpoints(make_endpoint(2))
+    attempts = [harness.submit_request()[0] for _ in range(20)]
     assert {attempt.server for attempt in attempts} == {2}  # the limit kept some of them from server 1
-    harness.gone(1)
-    harness.gone(2)
+    harness.withdraw_server(1)
+    harness.withdraw_server(2)
     assert {harness.end(attempt, Outcome.REJECTED)[0].reason for attempt in attempts} == {
         RejectReason.NO_AVAILABLE_SERVER
     }
@@ -161,7 +163,7 @@
         for _ in range(placed_before):
             harness.place()
         harness.tick()
-        harness.update_endpoints(entry(11, started_at=harness.now))
+        harness.update_endpoints(make_endpoint(11, started_at=harness.now))
         sent_to_new += sum(harness.place().server == 11 for _ in range(10))
     # A warm server carries 2 connections of each balancer, 80 in all, so 4 per second fill it during the 20 s of its
     # slow start. At the start of it the server has a fifth of its capacity.
@@ -174,7 +176,7 @@
         for _ in range(4):
             harness.place()
         harness.tick()
-    harness.update_endpoints(entry(5, started_at=harness.now))
+    harness.update_endpoints(make_endpoint(5, started_at=harness.now))
     placed_on_new = 0
     for _ in range(20):
         harness.tick()
@@ -183,8 +185,8 @@
 
 
 def test_burst_is_rejected_if_only_warming_servers_are_listed():
-    harness = BalancerHarness([entry(1, started_at=1000.0)], settings=replace(SETTINGS, balancer_count=10))
-    assert sum(isinstance(harness.ask()[0], StartAttempt) for _ in range(20)) <= 1
+    harness = BalancerHarness([make_endpoint(1, started_at=1000.0)], settings=replace(SETTINGS, balancer_count=10))
+    assert sum(isinstance(harness.submit_request()[0], StartAttempt) for _ in range(20)) <= 1
 
 
 def test_without_listed_sizes_warming_servers_are_filled_by_the_reported_capacity():
@@ -193,7 +195,7 @@
     for has_listed_sizes in (False, True):
         rules = replace(SETTINGS.rules, slow_start_duration=8.0)
         harness = BalancerHarness(
-            [entry(1), entry(2), entry(9, started_at=1000.0)],
+            [make_endpoint(1), make_endpoint(2), make_endpoint(9, started_at=1000.0)],
             replace(HEALTH_CHECK_SETTINGS, weights_are_sizes=has_listed_sizes, rules=rules),
         )
         if not has_listed_sizes:
@@ -258,7 +260,7 @@
             if not step % 10:
                 harness.tick(0.0)
         for harness in rng.choices(harnesses, k=6):
-            (action,) = harness.ask()
+            (action,) = harness.submit_request()
             if isinstance(action, StartAttempt):
                 harness.establish(action)
                 harness.balancer.handle(harness.now, ConnectionLoadReported(action.request_id, action.server, LOAD))
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SETTINGS, BalancerHarness, entry
+from helpers import SETTINGS, BalancerHarness, make_endpoint
 from lock_step import DiscoveryHarness, listed_target
 
 from aspensaddle.core.actions import StartAttempt
@@ -25,7 +25,7 @@
 def test_rotation_starts_at_a_random_server():
     first_servers = set()
     for seed in range(20):
-        (attempt,) = BalancerHarness(4, seed=seed).ask()
+        (attempt,) = BalancerHarness(4, seed=seed).submit_request()
         assert isinstance(attempt, StartAttempt)
         first_servers.add(attempt.server)
     assert first_servers == {1, 2, 3, 4}
@@ -48,7 +48,7 @@
 
 
 def test_connections_are_distributed_by_listed_weight():
-    harness = BalancerHarness([entry(1, weight=3.0), entry(2, weight=1.0)])
+    harness = BalancerHarness([make_endpoint(1, weight=3.0), make_endpoint(2, weight=1.0)])
     sent = [harness.place().server for _ in range(40)]
     assert sent.count(1) in (29, 30, 31)
 
@@ -57,7 +57,13 @@
     """Listed weights are core counts. The speed of a core depends on the machine type."""
     settings = replace(SETTINGS, machine_types=("other", "plain-runner", "fast-runner"), core_speeds=(1.0, 0.97, 1.5))
     harness = BalancerHarness(
-        [entry(1, machine_type=1), entry(2, machine_type=2), entry(3, machine_type=0), entry(4)], settings=settings
+        [
+            make_endpoint(1, machine_type=1),
+            make_endpoint(2, machine_type=2),
+            make_endpoint(3, machine_type=0),
+            make_endpoint(4),
+        ],
+        settings=settings,
     )
     for _ in range(447):
         harness.place(load_hint=0.01)
@@ -67,7 +73,7 @@
         and abs(connection_counts[2] - 150) <= 2
         and abs(connection_counts[3] - 100) <= 2
     ), connection_counts
-    harness.update_endpoints(entry(1, machine_type=2))  # a changed machine type changes the weight too
+    harness.update_endpoints(make_endpoint(1, machine_type=2))  # a changed machine type changes the weight too
     assert harness.balancer.servers[1].weight == harness.balancer.servers[2].weight
 
 
