--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -122,8 +122,8 @@
         return [WatchEndpoints()] if event.timer == WATCH_TIMER else []
 
     def _tick(self, now: float) -> list[Action]:
-        """Run the periodic rules. Their order matters: the refresh places servers that were readmitted before."""
-        self.passive_measurement.cut_worst(now)
+        """Run the periodic rules. Their order matters: the refresh returns readmitted servers to the rotation."""
+        self.passive_measurement.cut_ratio_of_worst_server(now)
         self.outlier_ejection.readmit_recovered(now)
         self.latency_outliers.clear_stale_marks(now)
         self.rotation.refresh_time_dependent_servers(
@@ -139,14 +139,18 @@
             not self.passive_measurement.slot and self.rotation.pending_ratio_increase
         ):
             self.rotation.rebuild(now, self.accounting.weigh)
-        return [*self.health_checks.due(now), *self.migration.rebalance(), *self.migration.heavy_connections(now)]
+        return [
+            *self.health_checks.start_due_checks(now),
+            *self.migration.migrate_off_most_loaded_server(),
+            *self.migration.migrate_heavy_connections(now),
+        ]
 
     def _endpoints_changed(self, now: float, event: EndpointsChanged) -> list[Action]:
         if event.scope is EndpointUpdateScope.FAILED:
             return [self.membership.retry_watch()]
         if self.membership.update(now, event):
             self.latency_outliers.update_statistics(now)
-        return [*self.health_checks.due(now)]
+        return [*self.health_checks.start_due_checks(now)]
 
     def _endpoint_list_confirmed(self, now: float, event: EndpointListConfirmed) -> list[Action]:
         self.state.endpoint_confirmation.confirm_list(now)
@@ -190,10 +194,7 @@
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
-        """Return how many servers a session group is kept on; 0 if its affinity does not follow from the list alone.
-
-        It does while this balancer has few connections.
-        """
+        """Return on how many servers the list alone keeps a session group; 0 unless there are few connections."""
         group = request.request.session_group
         if group is None or not self.state.has_few_connections:
             return 0
@@ -282,16 +283,16 @@
         self.accounting.discharge(request.server, request)
         request.load = event.load
         self.accounting.charge(request.server, request)
-        return [*self.migration.if_heavy(request.server, event.request_id, event.load)]
+        return [*self.migration.migrate_if_heavy(request.server, event.request_id, event.load)]
 
     def _server_latency_reported(self, now: float, event: ServerLatencyReported) -> list[Action]:
         server = self.state.servers.get(event.server)
         if server is None or not self.latency_outliers.record_report(now, server, event.latency):
             return []
-        return [*self.migration.off_slow_server(server, event.latency)]
+        return [*self.migration.migrate_off_slow_server(server, event.latency)]
 
     def _health_check_completed(self, now: float, event: HealthCheckCompleted) -> list[Action]:
         server = self.state.servers.get(event.server)
         if server is None or not self.health_checks.record_report(now, server, event.report):
             return []
-        return [*self.migration.off_overloaded_server(server)]
+        return [*self.migration.migrate_off_overloaded_server(server)]
--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -24,7 +24,7 @@
         self._state = state
         self._accounting = accounting
 
-    def due(self, now: float) -> list[CheckHealth]:
+    def start_due_checks(self, now: float) -> list[CheckHealth]:
         """Return the health checks that are due and count them as sent; new servers are checked at once."""
         state = self._state
         interval = health_check_interval(state.settings, state.ready_count, state.request_rate.smoothed())
@@ -41,11 +41,11 @@
         mean_load = self._accounting.mean_own_load()
         if not state.uses_load_reports:
             return False
-        available_fraction = state.capacity_fraction(now, server)
-        default_capacity = state.reported_capacity * available_fraction or 1.0
+        capacity_fraction = state.capacity_fraction(now, server)
+        default_capacity = state.reported_capacity * capacity_fraction or 1.0
         if not server.reported.update(report, server.own_load, mean_load, default_capacity):
             return False
-        if server.reported.capacity and available_fraction >= 1.0:
+        if server.reported.capacity and capacity_fraction >= 1.0:
             report_count = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
             state.reported_capacity += (server.reported.capacity - state.reported_capacity) / report_count
         self._accounting.recount(server)
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -11,7 +11,9 @@
 from aspensaddle.core.capacity_shortage import ServerCapacity
 from aspensaddle.core.server_state import Server
 
-REBALANCE_FRACTION = 0.1  # maximum part of a server's connections that is migrated per tick or report
+MIGRATED_FRACTION = (
+    0.1  # maximum part of a server's connections migrated per tick or report; double off a slow server
+)
 REBALANCE_MIN_LOAD_PER_CORE = 0.3  # load in cores per listed core above which a server is rebalanced
 REBALANCE_MIN_LOAD_RATIO = 1.5  # ratio to the fleet's mean load per share above which a server is rebalanced
 MIN_LOAD_SAMPLES = 10  # connections with a known load that a reliable mean load needs
@@ -25,7 +27,7 @@
         """Read servers, requests and settings from `state`."""
         self._state = state
 
-    def rebalance(self) -> list[Migrate]:
+    def migrate_off_most_loaded_server(self) -> list[Migrate]:
         """Migrate off the server with the most load per share, while that is far above the fleet's mean.
 
         Loads change after a connection was placed. Nothing is rebalanced while the list shows a capacity shortage.
@@ -39,7 +41,7 @@
             return []
         server = max(candidates, key=lambda server: server.normalized_load)
         excess = server.normalized_load / (REBALANCE_MIN_LOAD_RATIO * fleet_load) - 1
-        return self._migrate_fraction(server, REBALANCE_FRACTION * min(1.0, excess))
+        return self._migrate_fraction(server, MIGRATED_FRACTION * min(1.0, excess))
 
     def _is_rebalance_candidate(self, server: Server) -> bool:
         """Return whether a server has connections, and enough load that some of them may be migrated."""
@@ -47,7 +49,7 @@
             return False
         return server.load > REBALANCE_MIN_LOAD_PER_CORE * server.share * self._state.ready_count
 
-    def off_slow_server(self, server: Server, latency: float) -> list[Migrate]:
+    def migrate_off_slow_server(self, server: Server, latency: float) -> list[Migrate]:
         """Migrate connections off a slow server, in proportion to its latency.
 
         Balancers without connections there do not know that it is slow and keep placing connections on it. To make
@@ -55,16 +57,16 @@
         """
         state = self._state
         slowness = min(1.0, latency / state.message_latency_objective)
-        return self._migrate_fraction(server, REBALANCE_FRACTION * (1 + state.unobserved_weight) * slowness)
+        return self._migrate_fraction(server, MIGRATED_FRACTION * (1 + state.unobserved_weight) * slowness)
 
-    def off_overloaded_server(self, server: Server) -> list[Migrate]:
+    def migrate_off_overloaded_server(self, server: Server) -> list[Migrate]:
         """Migrate the part of a server's load that exceeds the capacity that it reports."""
         capacity = server.reported.capacity
         if not capacity or not server.load:
             return []
         return self._migrate_fraction(server, 1 - MAX_UTILIZATION * capacity / server.load)
 
-    def heavy_connections(self, now: float) -> list[Migrate]:
+    def migrate_heavy_connections(self, now: float) -> list[Migrate]:
         """Update the capacity shortage, and migrate the connections whose load is too heavy in it."""
         self._update_shortage(now)
         limit = self._state.shortage.max_connection_load
@@ -79,7 +81,7 @@
             if request.server and self._mark_asked(request.server, request.request.request_id)
         ]
 
-    def if_heavy(self, server: Server, request_id: str, load: float) -> list[Migrate]:
+    def migrate_if_heavy(self, server: Server, request_id: str, load: float) -> list[Migrate]:
         """Migrate a connection if its reported load is too heavy in the capacity shortage."""
         if load > self._state.shortage.max_connection_load and self._mark_asked(server, request_id):
             return [Migrate(request_id)]
--- a/aspensaddle/core/outlier_ejection.py
+++ b/aspensaddle/core/outlier_ejection.py
@@ -61,7 +61,7 @@
             server.avoided_until = now + (AVOIDANCE_SECONDS if self._state.shortage.missing > 0 else 0.0)
         failed = not request.is_established and outcome is not Outcome.TIMED_OUT
         if lost and now < request.established_at + HOLD_SECONDS:
-            # Without load the server would always be next in turn, and its clients would return to it.
+            # Without load the server would always be next in the rotation, and its clients would return to it.
             failed = True
             server.drops_connections = True
             server.connection_dropped_at = now
--- a/aspensaddle/core/passive_measurement.py
+++ b/aspensaddle/core/passive_measurement.py
@@ -40,7 +40,7 @@
         self.active[server.id] = server
         server.window.count(self.slot, accepted)
 
-    def cut_worst(self, now: float) -> None:
+    def cut_ratio_of_worst_server(self, now: float) -> None:
         """Take a part of the ratio of the worst server, and divide it evenly among the others."""
         ready_count = self._state.ready_count
         candidates = (server for server in self.active.values() if server.is_ready)
--- a/aspensaddle/core/slow_start.py
+++ b/aspensaddle/core/slow_start.py
@@ -33,10 +33,10 @@
 
         One random number is drawn per request and compared with the limits of all servers that are considered for it.
         """
-        available_fraction = self._state.capacity_fraction(now, server)
-        if available_fraction >= 1.0:
+        capacity_fraction = self._state.capacity_fraction(now, server)
+        if capacity_fraction >= 1.0:
             return False
-        allowed = self._allowed_load_rate(server, available_fraction)
+        allowed = self._allowed_load_rate(server, capacity_fraction)
         request.slow_start_draw = request.slow_start_draw or self._state.random.random()
         too_soon = now < server.last_attempt_at + self._min_attempt_interval(request, allowed)
         is_over_limit = too_soon or request.slow_start_draw * self._offered_load_rate(request) >= allowed
@@ -44,14 +44,14 @@
             request.no_server_reason = RejectReason.SLOW_START_LIMIT
         return is_over_limit
 
-    def _allowed_load_rate(self, server: Server, available_fraction: float) -> float:
+    def _allowed_load_rate(self, server: Server, capacity_fraction: float) -> float:
         """Return the new load per second that all balancers together may send to a server."""
         state = self._state
         rules = state.rules
         listed_capacity = server.weight if state.load_samples and state.settings.weights_are_sizes else 0.0
         typical_capacity = state.typical_server_load * state.settings.balancer_count / state.balancers_in_load
         capacity = state.reported_capacity or listed_capacity or typical_capacity
-        allowed = rules.overload_multiple * capacity * available_fraction / rules.slow_start_duration
+        allowed = rules.overload_multiple * capacity * capacity_fraction / rules.slow_start_duration
         minimum = MIN_REQUESTS_PER_OVERLOAD_WINDOW * state.mean_load / max(1.0, rules.overload_window)
         return max(allowed, minimum, MIN_ALLOWED_LOAD_RATE)
 
--- a/aspensaddle/core/weighted_rotation.py
+++ b/aspensaddle/core/weighted_rotation.py
@@ -82,30 +82,30 @@
         if server.is_available:
             for pool in pools:
                 pool.remove(server)
-        warm_up_fraction = self._update_share(now, server)
+        capacity_fraction = self._update_share(now, server)
         server.is_available = server.share > 0 and is_neither_ejected_nor_slow(now, server)
         if server.is_available:
             for pool in pools:
                 pool.add(server)
         self.time_dependent_servers.pop(server.id, None)
-        if server.is_ready and (warm_up_fraction < 1.0 or not server.is_available):
+        if server.is_ready and (capacity_fraction < 1.0 or not server.is_available):
             self.time_dependent_servers[server.id] = server
         if server.share:
             self.enqueue(server)
 
     def _update_share(self, now: float, server: Server) -> float:
-        """Set the share of a server; return the warm-up fraction that it was multiplied by."""
+        """Set the share of a server; return the capacity fraction that it was multiplied by."""
         state = self._state
-        warm_up_fraction = state.capacity_fraction(now, server)
+        capacity_fraction = state.capacity_fraction(now, server)
         # Live weights are 1 / (1 + load). They are squared so that slow machine types settle at a lower load.
         weight = max(0.0, server.weight) ** (LIVE_WEIGHT_EXPONENT if state.settings.live_weights else 1)
         if state.uses_load_reports:  # a reported capacity already includes the effect of warm-up
-            weight = server.reported.capacity or (state.reported_capacity or 1.0) * warm_up_fraction
-            warm_up_fraction = 1.0
+            weight = server.reported.capacity or (state.reported_capacity or 1.0) * capacity_fraction
+            capacity_fraction = 1.0
         server.share = (
-            (server.ratio + self.pending_ratio_increase) * weight * warm_up_fraction if server.is_ready else 0.0
+            (server.ratio + self.pending_ratio_increase) * weight * capacity_fraction if server.is_ready else 0.0
         )
-        return warm_up_fraction
+        return capacity_fraction
 
     def refresh_time_dependent_servers(self, now: float, *, include_warming_up: bool) -> None:
         """Update the servers whose availability has changed with time.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -79,7 +79,7 @@
         self.establish(attempt)
         return attempt
 
-    def lay_out(self) -> None:
+    def rebuild_rotation(self) -> None:
         """Rebuild the weighted rotation by the current loads."""
         self.balancer.rotation.rebuild(self.now, self.balancer.accounting.weigh)
 
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -36,8 +36,8 @@
 JOINING_STARTS = [7 * n / 24 for n in range(24)]
 
 
-def large_fleet(count: int, weight: float = 2.0, **more: object) -> list[Endpoint]:
-    return [make_endpoint(n, weight=weight, **more) for n in range(count)]
+def large_fleet(count: int, weight: float = 2.0, **fields: object) -> list[Endpoint]:
+    return [make_endpoint(n, weight=weight, **fields) for n in range(count)]
 
 
 def harnesses_in_lock_step(
@@ -86,10 +86,10 @@
     Return for each joining server its ages, in seconds, at which it was sent a connection.
     """
     rng, now, servers = Random(count), 1000.0, OLD_SERVER_COUNT + len(JOINING_STARTS)
-    entries = [make_endpoint(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
-    entries += [make_endpoint(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
+    endpoints = [make_endpoint(n, weight=2.0, started_at=now + start) for n, start in enumerate(JOINING_STARTS)]
+    endpoints += [make_endpoint(n, weight=2.0) for n in range(len(JOINING_STARTS), servers)]
     harnesses = [
-        BalancerHarness([endpoint for endpoint in entries if not endpoint.started_at], settings, seed=n)
+        BalancerHarness([endpoint for endpoint in endpoints if not endpoint.started_at], settings, seed=n)
         for n in range(count)
     ]
     balancer_weights, group_weights = [1 / (1 + n) ** 0.5 for n in range(count)], [1 / (1 + g) for g in range(groups)]
@@ -102,7 +102,7 @@
             harness.now = time
             # The list arrives 2 s late.
             harness.update_endpoints(
-                *(endpoint for endpoint in entries if time <= endpoint.started_at + 2.0 < time + 0.5)
+                *(endpoint for endpoint in endpoints if time <= endpoint.started_at + 2.0 < time + 0.5)
             )
         for harness in rng.choices(harnesses, balancer_weights, k=int(connection_rate * servers / 2)):
             (attempt,) = harness.submit_request(
@@ -111,7 +111,7 @@
             if isinstance(attempt, StartAttempt):
                 harness.establish(attempt)
                 if attempt.server in sent:
-                    sent[attempt.server].append(time - entries[attempt.server].started_at)
+                    sent[attempt.server].append(time - endpoints[attempt.server].started_at)
     return sent
 
 
@@ -161,16 +161,16 @@
     settings = replace(
         SETTINGS, balancer_count=fleet.balancers, session_groups=fleet.groups > 0, rules=fleet.rules, limits=Limits()
     )
-    all_entries = [
+    all_endpoints = [
         make_endpoint(n, weight=WEIGHT, started_at=start if n < fleet.warming_servers else 0.0)
         for n in range(fleet.servers)
     ]
-    warm_entries = all_entries[fleet.warming_servers :]
+    warm_endpoints = all_endpoints[fleet.warming_servers :]
 
-    def new_harness(n: int, now: float, entries: list) -> BalancerHarness:
-        return BalancerHarness(entries, settings, seed=1000 * seed + n, now=now)
+    def new_harness(n: int, now: float, endpoints: list) -> BalancerHarness:
+        return BalancerHarness(endpoints, settings, seed=1000 * seed + n, now=now)
 
-    harnesses = [new_harness(n, start - 20.0, warm_entries) for n in range(fleet.balancers)]
+    harnesses = [new_harness(n, start - 20.0, warm_endpoints) for n in range(fleet.balancers)]
     notified_at = [start + rng.uniform(0.0, fleet.list_delay) for _ in harnesses]
     balancer_weights = [
         1 / (1 + n) ** 0.7 if n < max(1, fleet.active_fraction * fleet.balancers) else 0.0
@@ -190,12 +190,12 @@
                 harness.tick(0.0)
             if now >= notified_at[n] and not is_notified[n]:
                 is_notified[n] = True
-                harness.update_endpoints(*all_entries[: fleet.warming_servers])
+                harness.update_endpoints(*all_endpoints[: fleet.warming_servers])
         if fleet.restart_at is not None and now - 0.1 < start + fleet.restart_at <= now:
             for n in range(fleet.balancers):
                 if n % 10 < 7:
                     harnesses[n], is_notified[n], next_tick_at[n] = (
-                        new_harness(n, now, all_entries),
+                        new_harness(n, now, all_endpoints),
                         True,
                         now + rng.random(),
                     )
@@ -230,14 +230,14 @@
     return violations
 
 
-def listed_target(n, started_at=0.0, **more):
+def listed_target(n, started_at=0.0, **fields):
     return {
         "uid": f"s-{n}",
         "endpoint": f"127.0.{n // 250}.{n % 250 + 1}:80",
         "state": "active",
         "capacity_hint": WEIGHT,
         "boot_ms": int(started_at * 1000),
-        **more,
+        **fields,
     }
 
 
@@ -253,12 +253,12 @@
         update = parse_endpoint_list({"rev": 1, "all": full, "targets": list(targets)})
         self.update_endpoints(*self.registry.apply(update), scope=update.scope)
 
-    def finish_request(self, rng=None, **more):
+    def finish_request(self, rng=None, **fields):
         """Send one request, end its attempts with outcomes drawn from `rng`, and return the last action.
 
         An attempt whose outcome is OK is established; without `rng` that is the first one.
         """
-        (action,) = self.submit_request(load_hint=LOAD, **more)
+        (action,) = self.submit_request(load_hint=LOAD, **fields)
         while isinstance(action, StartAttempt):
             assert self.balancer.servers[action.server].is_ready and action.server in self.registry.addresses
             if (outcome := rng.choice(list(Outcome)) if rng else Outcome.OK) is Outcome.OK:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -44,7 +44,7 @@
             1,
             harness.now + 5,
         )
-    harness.lay_out()
+    harness.rebuild_rotation()
     assert all(harness.place().server % 2 == 1 for _ in range(5))
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -92,20 +92,20 @@
 def test_every_request_is_answered_while_lists_are_empty_shrink_grow_or_repeat(count):
     settings = replace(SETTINGS, balancer_count=count)
     harness = BalancerHarness(SERVER_COUNT, settings)
-    old = [make_endpoint(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
-    new = [make_endpoint(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
-    leaving = [make_endpoint(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
-    for scope, entries, is_placed in (
+    old_endpoints = [make_endpoint(n, weight=2.0) for n in range(1, SERVER_COUNT + 1)]
+    new_endpoints = [make_endpoint(n, weight=2.0, started_at=harness.now) for n in range(100, 160)]
+    withdrawn_endpoints = [make_endpoint(n, state=ServerState.GONE) for n in range(1, SERVER_COUNT + 1)]
+    for scope, endpoints, is_placed in (
         (EndpointUpdateScope.COMPLETE, [], False),
-        (EndpointUpdateScope.COMPLETE, old, True),
-        (EndpointUpdateScope.COMPLETE, old[:1], True),
-        (EndpointUpdateScope.INCREMENTAL, new, True),
-        (EndpointUpdateScope.INCREMENTAL, leaving, None),
-        (EndpointUpdateScope.INCREMENTAL, leaving, None),
-        (EndpointUpdateScope.COMPLETE, old, True),
+        (EndpointUpdateScope.COMPLETE, old_endpoints, True),
+        (EndpointUpdateScope.COMPLETE, old_endpoints[:1], True),
+        (EndpointUpdateScope.INCREMENTAL, new_endpoints, True),
+        (EndpointUpdateScope.INCREMENTAL, withdrawn_endpoints, None),
+        (EndpointUpdateScope.INCREMENTAL, withdrawn_endpoints, None),
+        (EndpointUpdateScope.COMPLETE, old_endpoints, True),
         (EndpointUpdateScope.INCREMENTAL, [], True),
     ):
-        harness.update_endpoints(*entries, scope=scope)
+        harness.update_endpoints(*endpoints, scope=scope)
         for _ in range(3):
             (action,) = harness.submit_request(load_hint=LOAD)
             if isinstance(action, StartAttempt):
@@ -131,12 +131,12 @@
 
 @pytest.mark.parametrize("count", BALANCER_COUNTS)
 def test_no_request_is_rejected_while_the_list_grows_to_900_and_shrinks_to_one(count):
-    harness, new = (
+    harness, new_targets = (
         DiscoveryHarness([listed_target(n) for n in range(3)], count, session_groups=True),
         [listed_target(n, NOW) for n in range(3, 900)],
     )
     for step in range(10):
-        harness.update_targets(*new[step * 90 : (step + 1) * 90])
+        harness.update_targets(*new_targets[step * 90 : (step + 1) * 90])
         harness.now += 0.1
         assert isinstance(harness.finish_request(), StartAttempt)  # the three old servers are warm
     assert len(harness.balancer.servers) == len(harness.registry.addresses) == 900 and isinstance(
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -22,12 +22,12 @@
 
 from aspensaddle.core.actions import Migrate, Reject, RejectReason
 from aspensaddle.core.events import AttemptEnded, ConnectionLoadReported, Outcome, ServerLatencyReported, ServerState
-from aspensaddle.core.migration import REBALANCE_FRACTION
+from aspensaddle.core.migration import MIGRATED_FRACTION
 
 
-def harness_with_grown_loads(servers, **more):
+def harness_with_grown_loads(servers, **arguments):
     """Return a harness whose server 1 has connections with loads that grew after they were placed."""
-    harness = BalancerHarness(servers, **more)
+    harness = BalancerHarness(servers, **arguments)
     attempts = [harness.place(load_hint=0.02) for _ in range(20 * servers)]
     for attempt in attempts:
         if attempt.server == 1:
@@ -79,19 +79,19 @@
     alone = harness_with_grown_loads(2)
     other = alone.balancer.servers[2]
     other.ejected_until = alone.now + 100
-    alone.lay_out()
+    alone.rebuild_rotation()
     assert not migrations(alone)
 
 
 def test_connection_that_also_frees_a_session_group_migrates_first():
     harness = BalancerHarness(2, settings=replace(SETTINGS, session_groups=True))
     harness.balancer.servers[2].ejected_until = harness.now + 1.0
-    harness.lay_out()
+    harness.rebuild_rotation()
     for _ in range(20):
         harness.place(load_hint=0.05, session_group=1)
     last = harness.place(load_hint=0.04, session_group=2)  # the only connection of its group
     harness.now += 5.0
-    harness.lay_out()
+    harness.rebuild_rotation()
     assert migrations(harness, 1)[0].request_id == last.request_id
 
 
@@ -101,12 +101,12 @@
     for _ in range(4):
         for harness in harnesses:
             harness.place(load_hint=LOAD)
-    unseen_fraction = (
+    unobserved_fraction = (
         sum(not server.connections for harness in harnesses for server in harness.balancer.servers.values())
         / MANY_BALANCERS
         / SERVER_COUNT
     )
-    assert unseen_fraction > 0.5
+    assert unobserved_fraction > 0.5
     for harness in harnesses:
         harness.tick()
     for harness in (harness for harness in harnesses if harness.balancer.servers[3].connections):
@@ -117,7 +117,7 @@
                 harness.balancer.handle(harness.now, ServerLatencyReported("", 3, MESSAGE_LATENCY_OBJECTIVE)) or []
             )
             server.connections.update(connections_before)
-    assert 0.9 < migrated / connection_count / (REBALANCE_FRACTION * (1 + unseen_fraction)) < 1.1
+    assert 0.9 < migrated / connection_count / (MIGRATED_FRACTION * (1 + unobserved_fraction)) < 1.1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -40,7 +40,7 @@
 
 
 def test_server_that_drops_new_connections_is_ejected_until_one_holds():
-    """Such a server carries no load, so without ejection it would always be next in turn."""
+    """Such a server carries no load, so without ejection it would always be next in the rotation."""
     harness = BalancerHarness(3)
     dropping, attempt_count = harness.place().server, 0
     for _ in range(10):
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -67,7 +67,7 @@
     harness.balancer.servers[1].slow_until = harness.now + 10.0
     harness.balancer.servers[2].consecutive_failures = 1
     harness.balancer.servers[2].ejected_until = harness.now + 10.0
-    harness.lay_out()
+    harness.rebuild_rotation()
     assert {harness.place().server for _ in range(10)} == {1}
 
 
@@ -75,5 +75,5 @@
     harness = BalancerHarness(1)
     harness.balancer.servers[1].consecutive_failures = 1
     harness.balancer.servers[1].ejected_until = harness.now + 10.0
-    harness.lay_out()
+    harness.rebuild_rotation()
     assert harness.place().server == 1
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -15,7 +15,7 @@
 def test_connections_are_distributed_by_ratio():
     harness = BalancerHarness(2)
     harness.balancer.servers[1].ratio, harness.balancer.servers[2].ratio = 0.75, 0.25
-    harness.lay_out()
+    harness.rebuild_rotation()
     sent = [harness.place().server for _ in range(40)]
     assert sent.count(1) in (29, 30, 31)
     # The rotation is smooth: the server with the higher ratio is never chosen more than four times in a row.
