--- a/aspensaddle/core/admission.py
+++ b/aspensaddle/core/admission.py
@@ -45,5 +45,5 @@
     def _retry_storm_probability(self, request: RequestState) -> float:
         state = self._state
         by_losses = state.many_balancers_weight * state.lost_connections / (1 + state.lost_connections)
-        by_shortage = SHORTAGE_REJECT_FRACTION * state.shortage.missing
+        by_shortage = SHORTAGE_REJECT_FRACTION * state.shortage.missing_fraction
         return request.request.reconnecting * max(by_losses, by_shortage)
--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -130,10 +130,10 @@
         self.outlier_ejection.decay_lost_connections()
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
-        self.accounting.smooth_typical_load()
+        self.accounting.update_typical_load()
         # Raised ratios can wait for the end of a window, a changed list cannot.
         if self.rotation.needs_layout or (not self.passive_measurement.slot and self.rotation.raised):
-            self.rotation.lay_out(now, self.accounting.weigh)
+            self.rotation.lay_out(now, self.accounting.compute_load)
         return [*self.health_checks.due(now), *self.migration.rebalance(), *self.migration.heavy_connections(now)]
 
     def _endpoints_changed(self, now: float, event: EndpointsChanged) -> list[Action]:
@@ -156,7 +156,7 @@
         request = RequestState(event, now + event.time_left)
         state.requests[event.request_id] = request
         if request.load is not None:
-            self.accounting.sample_load(now, request.load)
+            self.accounting.add_load_sample(now, request.load)
         state.session_groups.record(event.session_group)
         reason = self.admission.reject_reason(request)
         if reason is not None:
@@ -181,7 +181,7 @@
         request.tried_servers = [*request.tried_servers, server.id]
         server.last_attempt_at = now
         self.outlier_ejection.attempt_started(now, server, time_left)
-        self.accounting.charge(server, request)
+        self.accounting.add_request(server, request)
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
@@ -238,7 +238,7 @@
         return self._attempt(now, request)
 
     def _release(self, request: RequestState, server: Server) -> None:
-        self.accounting.discharge(server, request)
+        self.accounting.remove_request(server, request)
         server.connections.pop(request.request.request_id, None)
         request.server = None
 
@@ -254,7 +254,7 @@
         request.server = server
         request.is_established = True
         self.state.session_groups.record(event.request.session_group)
-        self.accounting.charge(server, request)
+        self.accounting.add_request(server, request)
         return []
 
     def _client_disconnected(self, now: float, event: ClientDisconnected) -> list[Action]:
@@ -270,10 +270,10 @@
         if request is None or request.server is None:
             return []
         if request.load is None:
-            self.accounting.sample_load(now, event.load)
-        self.accounting.discharge(request.server, request)
+            self.accounting.add_load_sample(now, event.load)
+        self.accounting.remove_request(request.server, request)
         request.load = event.load
-        self.accounting.charge(request.server, request)
+        self.accounting.add_request(request.server, request)
         return [*self.migration.if_heavy(request.server, event.request_id, event.load)]
 
     def _server_latency_reported(self, now: float, event: ServerLatencyReported) -> list[Action]:
--- a/aspensaddle/core/capacity_shortage.py
+++ b/aspensaddle/core/capacity_shortage.py
@@ -27,14 +27,14 @@
 
 
 class CapacityShortage:
-    """`missing` is the fraction of the spare capacity that is missing by the list, 0 to 1.
+    """`missing_fraction` is the fraction of the spare capacity that is missing by the list, 0 to 1.
 
     `max_connection_load` is the heaviest load of a connection that may stay; infinity without a shortage.
     """
 
     def __init__(self) -> None:
         """Start without a shortage."""
-        self.missing = 0.0
+        self.missing_fraction = 0.0
         self.max_connection_load = float("inf")
 
     def update(
@@ -53,9 +53,9 @@
         """
         listed = sum(server.listed for server in servers)
         lacking = 1 - sum(server.available for server in servers) / listed if listed else 0.0
-        self.missing = weight * min(1.0, lacking / SPARE_CAPACITY_FRACTION)
+        self.missing_fraction = weight * min(1.0, lacking / SPARE_CAPACITY_FRACTION)
         by_losses = weight * LOST_CONNECTIONS_WEIGHT * lost_connections / (1 + lost_connections)
-        shortage = max(self.missing, by_losses)
+        shortage = max(self.missing_fraction, by_losses)
         allowed = max(
             FAIR_SHARE_FRACTION * listed / max(1, fleet_connections),
             MIN_LOAD_FRACTION_OF_SERVER * listed / max(1, len(servers)),
--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -20,7 +20,7 @@
     """Asks servers for load reports where the settings allow it, and takes the reports."""
 
     def __init__(self, state: BalancerState, accounting: LoadAccounting) -> None:
-        """Take reports into `state`, and recount servers by `accounting`."""
+        """Take reports into `state`, and update the loads of servers by `accounting`."""
         self._state = state
         self._accounting = accounting
 
@@ -38,7 +38,7 @@
     def take_report(self, now: float, server: Server, report: LoadReport | None) -> bool:
         """Take the report of a server; return False where it tells nothing."""
         state = self._state
-        mean_load = self._accounting.mean_own_load()
+        mean_load = self._accounting.mean_connection_load()
         if not state.uses_load_reports:
             return False
         warmth = state.capacity_fraction(now, server)
@@ -48,5 +48,5 @@
         if server.reported.capacity and warmth >= 1.0:
             weight = SMOOTHED_SERVERS if state.reported_capacity else 1
             state.reported_capacity += (server.reported.capacity - state.reported_capacity) / weight
-        self._accounting.recount(server)
+        self._accounting.update_load(server)
         return True
--- a/aspensaddle/core/load_accounting.py
+++ b/aspensaddle/core/load_accounting.py
@@ -24,16 +24,16 @@
         self._state = state
         self._rotation = rotation
 
-    def charge(self, server: Server, request: RequestState) -> None:
+    def add_request(self, server: Server, request: RequestState) -> None:
         """Count a request's attempt or connection at a server."""
         self._change(server, request, 1)
 
-    def discharge(self, server: Server, request: RequestState) -> None:
+    def remove_request(self, server: Server, request: RequestState) -> None:
         """Take a request's attempt or connection off a server."""
         self._change(server, request, -1)
 
     def _change(self, server: Server, request: RequestState, sign: int) -> None:
-        self._state.tenant_quotas.count(request.request.tenant, sign)
+        self._state.tenant_quotas.add_connections(request.request.tenant, sign)
         server.request_count += sign
         if request.load is None:
             server.connections_of_unknown_load += sign
@@ -44,12 +44,12 @@
             server.session_groups[group] += sign
             if not server.session_groups[group]:
                 del server.session_groups[group]
-        self.recount(server)
+        self.update_load(server)
 
-    def recount(self, server: Server) -> None:
+    def update_load(self, server: Server) -> None:
         """Weigh a server anew, after its connections, a report or the mean load changed."""
         before = server.load
-        server.load = self.weigh(server)
+        server.load = self.compute_load(server)
         if server.id in self._state.servers:  # the total of the last layout has no other
             self._state.total_load += server.load - before
         if server.share:
@@ -57,7 +57,7 @@
                 pool.load += (server.load - before) * server.is_available
             self._rotation.queue(server)
 
-    def weigh(self, server: Server) -> float:
+    def compute_load(self, server: Server) -> float:
         """Update this balancer's load of a server; return its load, by its reports that of all balancers."""
         state = self._state
         assumed_connections = server.connections_of_unknown_load + state.session_group_cost * len(
@@ -70,7 +70,7 @@
             return server.reported.current_load(own_load, state.balancers_in_load)
         return own_load
 
-    def sample_load(self, now: float, load: float) -> None:
+    def add_load_sample(self, now: float, load: float) -> None:
         """Take the load of a connection into the mean.
 
         Turns computed with a mean that has drifted make servers without known loads look loaded.
@@ -80,9 +80,9 @@
         state.mean_load += (load - state.mean_load) / state.load_samples
         at_layout = self._rotation.mean_load_at_layout
         if not MIN_MEAN_LOAD_RATIO * at_layout <= state.mean_load <= at_layout / MIN_MEAN_LOAD_RATIO:
-            self._rotation.lay_out(now, self.weigh)
+            self._rotation.lay_out(now, self.compute_load)
 
-    def smooth_typical_load(self) -> None:
+    def update_typical_load(self) -> None:
         """Follow the load per ready server, once a tick."""
         state = self._state
         mean_server_load = state.total_load / max(1, state.ready_count)
@@ -91,6 +91,6 @@
         else:
             state.typical_server_load = mean_server_load
 
-    def mean_own_load(self) -> float:
+    def mean_connection_load(self) -> float:
         """Return the mean load of this balancer's connections, the sampled mean without any."""
         return self._state.own_load / max(1, len(self._state.requests)) or self._state.mean_load
--- a/aspensaddle/core/load_report_fields.py
+++ b/aspensaddle/core/load_report_fields.py
@@ -19,6 +19,6 @@
     )
 
 
-def tells_load(field_names: Iterable[str]) -> bool:
+def has_load_fields(field_names: Iterable[str]) -> bool:
     """Return whether reports with these fields tell the load that all balancers together ask of a server."""
     return {UTILIZATION_FIELD, CONNECTIONS_FIELD} <= set(field_names)
--- a/aspensaddle/core/load_reports.py
+++ b/aspensaddle/core/load_reports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from aspensaddle.core.events import LoadReport
-from aspensaddle.core.load_report_fields import tells_load
+from aspensaddle.core.load_report_fields import has_load_fields
 from aspensaddle.core.settings import Settings
 
 SMOOTHED_REPORTS = 4  # a capacity is a running mean over so many reports
@@ -70,7 +70,7 @@
 
 def uses_load_reports(settings: Settings) -> bool:
     """Return whether health checks tell the load that all balancers together ask of a server."""
-    return settings.limits.health_checks_allowed and tells_load(settings.load_report_fields)
+    return settings.limits.health_checks_allowed and has_load_fields(settings.load_report_fields)
 
 
 def health_check_interval(settings: Settings, server_count: int, requests_per_second: float) -> float:
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -31,7 +31,7 @@
         """
         state = self._state
         loaded = [server for server in state.servers.values() if self._is_loaded(server)]
-        if not loaded or not state.load_samples or state.shortage.missing:
+        if not loaded or not state.load_samples or state.shortage.missing_fraction:
             return []
         fleet_load = state.fleet_pool.load_per_share()
         if not 0 < fleet_load < float("inf"):
--- a/aspensaddle/core/outlier_ejection.py
+++ b/aspensaddle/core/outlier_ejection.py
@@ -57,7 +57,7 @@
         lost = request.is_established and outcome is Outcome.CONNECTION_LOST
         if lost:
             self._state.lost_connections += server.is_ready
-            server.avoided_until = now + (AVOIDANCE_SECONDS if self._state.shortage.missing > 0 else 0.0)
+            server.avoided_until = now + (AVOIDANCE_SECONDS if self._state.shortage.missing_fraction > 0 else 0.0)
         failed = not request.is_established and outcome is not Outcome.TIMED_OUT
         if lost and now < request.established_at + HOLD_SECONDS:
             # It carries nothing, so that its turn would always come, and its clients would return to it.
--- a/aspensaddle/core/retry_after.py
+++ b/aspensaddle/core/retry_after.py
@@ -7,7 +7,7 @@
 from aspensaddle.core.settings import Limits
 
 SHUTDOWN_RETRY_AFTER_SECONDS = 0.45  # PROTOCOL: new connections keep coming for up to 0.4 s after SIGTERM
-EARLIEST_FRACTION = 0.2  # of the longest Retry-After
+MIN_RETRY_AFTER_FRACTION = 0.2  # of the longest Retry-After
 
 
 def shutdown_retry_after(limits: Limits) -> float:
@@ -21,4 +21,4 @@
     """Return the seconds after which a rejected client may retry, drawn so that clients do not return together."""
     if not limits.retry_after_allowed:
         return 0.0
-    return random.uniform(EARLIEST_FRACTION, 1.0) * limits.max_retry_after
+    return random.uniform(MIN_RETRY_AFTER_FRACTION, 1.0) * limits.max_retry_after
--- a/aspensaddle/core/server_selection.py
+++ b/aspensaddle/core/server_selection.py
@@ -104,7 +104,7 @@
             if server.avoided_until <= now and server.id not in request.tried_servers
         )
         preferred = sorted(islice(walk, request.preferred_server_count), key=lambda server: server.next_turn)
-        if state.shortage.missing:  # while servers come and go, a client finds its server again
+        if state.shortage.missing_fraction:  # while servers come and go, a client finds its server again
             client = request.request.affinity_key or state.random.getrandbits(RANDOM_KEY_BITS)
             preferred = rendezvous_order(client, preferred)
         if self._is_rejected_until_warm(now, request, preferred):
--- a/aspensaddle/core/tenant_quotas.py
+++ b/aspensaddle/core/tenant_quotas.py
@@ -17,7 +17,7 @@
         self.quotas: tuple[float, ...] = ()  # connections at all balancers, by tenant; no bound beyond the tuple
         self._held = Counter[int]()
 
-    def count(self, tenant: int, change: int) -> None:
+    def add_connections(self, tenant: int, change: int) -> None:
         """Add `change` connections of a tenant."""
         self._held[tenant] += change
         if not self._held[tenant]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
         return send
 
     def lay_out(self) -> None:
-        self.balancer.rotation.lay_out(self.now, self.balancer.accounting.weigh)
+        self.balancer.rotation.lay_out(self.now, self.balancer.accounting.compute_load)
 
     def tick(self, seconds: float = 1.0) -> list[Action]:
         self.now += seconds
--- a/tests/test_admission_of_requests.py
+++ b/tests/test_admission_of_requests.py
@@ -117,7 +117,7 @@
 
 def test_only_reconnecting_clients_are_rejected_during_a_capacity_shortage():
     state = BalancerState(SETTINGS, seed=1)
-    state.shortage.missing = 1.0
+    state.shortage.missing_fraction = 1.0
     storms = reject_reasons(state, reconnecting=True)[RejectReason.RETRY_STORM]
     assert storms == pytest.approx(SHORTAGE_REJECT_FRACTION * DRAWS, abs=0.05 * DRAWS)
     assert reject_reasons(state) == {None: DRAWS}
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -30,15 +30,15 @@
     short = CapacityShortage()
     short.update(servers, stand, blind, breaks)
     cores = sum(server.listed for server in servers)
-    assert 0 <= short.missing <= blind
+    assert 0 <= short.missing_fraction <= blind
     assert short.max_connection_load >= max(
         FAIR_SHARE_FRACTION * cores / max(1, stand), MIN_LOAD_FRACTION_OF_SERVER * cores / max(1, len(servers))
     )
     tight, eased = CapacityShortage(), CapacityShortage()
     tight.update([ServerCapacity(server.listed, 0.0) for server in servers], stand, blind, breaks + 1)
-    assert tight.missing >= short.missing and tight.max_connection_load <= short.max_connection_load
+    assert tight.missing_fraction >= short.missing_fraction and tight.max_connection_load <= short.max_connection_load
     eased.update([ServerCapacity(server.listed, server.listed) for server in servers], stand, blind, 0.0)
-    assert eased.missing == 0 and eased.max_connection_load == float("inf")
+    assert eased.missing_fraction == 0 and eased.max_connection_load == float("inf")
 
 
 def shortage_of(available: float, **more: float) -> CapacityShortage:
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize(("available", "missing"), [(10.0, 0.0), (8.75, 0.5), (7.5, 1.0), (0.0, 1.0)])
 def test_missing_is_the_fraction_of_the_spare_quarter_that_is_not_available(available, missing):
-    assert shortage_of(available).missing == pytest.approx(missing)
+    assert shortage_of(available).missing_fraction == pytest.approx(missing)
 
 
 def test_allowed_load_falls_with_the_shortage():
@@ -67,10 +67,10 @@
 
 def test_lost_connections_limit_the_load_without_missing_capacity():
     shortage = shortage_of(10.0, lost_connections=1.0)
-    assert shortage.missing == 0.0
+    assert shortage.missing_fraction == 0.0
     assert shortage.max_connection_load == pytest.approx(0.03 / (0.3 * 0.5))
 
 
 def test_balancer_that_sees_the_whole_fleet_finds_no_shortage():
     shortage = shortage_of(0.0, weight=0.0, lost_connections=9.0)
-    assert (shortage.missing, shortage.max_connection_load) == (0.0, float("inf"))
+    assert (shortage.missing_fraction, shortage.max_connection_load) == (0.0, float("inf"))
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -123,7 +123,7 @@
 def test_server_that_lost_a_connection_during_a_shortage_is_avoided_for_exactly_15_seconds():
     harness, server = harness_with_lost_connection(draining_servers=10)
     lost_at = harness.now
-    assert harness.balancer.state.shortage.missing > 0
+    assert harness.balancer.state.shortage.missing_fraction > 0
     assert AVOIDANCE_SECONDS == 15.0
     for elapsed, avoided in ((0.0, True), (14.999, True), (15.0, False)):
         harness.now = lost_at + elapsed
@@ -133,6 +133,6 @@
 
 def test_server_that_lost_a_connection_without_a_shortage_is_not_avoided():
     harness, server = harness_with_lost_connection(draining_servers=0)
-    assert harness.balancer.state.shortage.missing == 0
+    assert harness.balancer.state.shortage.missing_fraction == 0
     # Connections that stay, because without a shortage the group's least loaded server is chosen.
     assert server in {harness.place(affinity_key=key, session_group=3).server for key in range(100, 140)}
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -9,7 +9,7 @@
 from helpers import SETTINGS, BalancerHarness
 
 from aspensaddle.core.retry_after import (
-    EARLIEST_FRACTION,
+    MIN_RETRY_AFTER_FRACTION,
     SHUTDOWN_RETRY_AFTER_SECONDS,
     rejection_retry_after,
     shutdown_retry_after,
@@ -25,7 +25,7 @@
 def test_rejection_retry_after_is_drawn_between_the_earliest_and_the_longest():
     limits, random = SETTINGS.limits, Random(1)
     waits = [rejection_retry_after(limits, random) for _ in range(1000)]
-    earliest, longest = EARLIEST_FRACTION * limits.max_retry_after, limits.max_retry_after
+    earliest, longest = MIN_RETRY_AFTER_FRACTION * limits.max_retry_after, limits.max_retry_after
     assert earliest <= min(waits) <= 1.05 * earliest
     assert 0.95 * longest <= max(waits) <= longest
 
--- a/tests/test_tenant_quotas.py
+++ b/tests/test_tenant_quotas.py
@@ -10,7 +10,7 @@
 def quotas_with_connections(held: int, *quotas: float) -> TenantQuotas:
     tenant_quotas = TenantQuotas()
     tenant_quotas.quotas = quotas
-    tenant_quotas.count(TENANT, held)
+    tenant_quotas.add_connections(TENANT, held)
     return tenant_quotas
 
 
@@ -38,11 +38,11 @@
 @pytest.mark.parametrize("tenant", [-1, 1, 10**6])
 def test_tenant_without_a_quota_has_no_bound(tenant):
     quotas = quotas_with_connections(0, 10.0)
-    quotas.count(tenant, 1000)
+    quotas.add_connections(tenant, 1000)
     assert not quotas.is_reached(tenant, 1000, 0.0, balancer_count=1)
 
 
 def test_ended_connections_no_longer_count():
     quotas = quotas_with_connections(10, 10.0)
-    quotas.count(TENANT, -1)
+    quotas.add_connections(TENANT, -1)
     assert not quotas.is_reached(TENANT, 9, 0.0, balancer_count=1)
