--- a/aspensaddle/core/capacity_shortage.py
+++ b/aspensaddle/core/capacity_shortage.py
@@ -1,8 +1,8 @@
-"""Capacity shortage of the fleet by the endpoint list and by lost connections, and the heaviest load allowed in it.
+"""Capacity shortage of the fleet, and the heaviest load that a connection may have during a shortage.
 
-Loads are seconds of a standard core per second. A few heavy connections may ask for much of the work, so that they
-are the first to leave. What the list tells is the same for all balancers; lost connections and the number of
-connections are this balancer's own.
+A shortage is inferred from the endpoint list and from lost connections. A few heavy connections may cause much of the
+load, so they are migrated first. The endpoint list is the same for all balancers; lost connections and the number of
+connections are what this balancer sees. Loads are in seconds of a standard core per second.
 """
 
 from __future__ import annotations
@@ -10,26 +10,27 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-SPARE_CAPACITY_FRACTION = 0.25  # of the listed cores, without which the fleet still copes
-MIN_LOAD_FRACTION_OF_SERVER = 0.03  # of a mean server's cores: a load that is always allowed
-LOST_CONNECTIONS_WEIGHT = 0.3  # servers lose connections for other reasons too
-MIN_LOAD_FRACTION_OF_MEAN = 0.5  # of the mean load: a load that is always allowed
-FAIR_SHARE_FRACTION = 0.25  # of a connection's even part of all listed cores
+SPARE_CAPACITY_FRACTION = 0.25  # fraction of the listed cores that the fleet can do without
+MIN_LOAD_FRACTION_OF_SERVER = 0.03  # fraction of a mean server's cores; a load up to this is always allowed
+LOST_CONNECTIONS_WEIGHT = 0.3  # below 1, because connections are lost for other reasons too
+MIN_LOAD_FRACTION_OF_MEAN = 0.5  # fraction of the mean load of a connection; a load up to this is always allowed
+FAIR_SHARE_FRACTION = 0.25  # fraction of the listed cores per connection; a load up to this is always allowed
 NEGLIGIBLE_SHORTAGE = 1e-9
 
 
 @dataclass(slots=True)
 class ServerCapacity:
-    """Cores that a server is listed with, and those that are ready and warm now."""
+    """The cores that the endpoint list gives a server, and how many of them are ready and warm now."""
 
-    listed: float
-    available: float
+    listed_cores: float
+    available_cores: float
 
 
 class CapacityShortage:
-    """`missing_fraction` is the fraction of the spare capacity that is missing by the list, 0 to 1.
+    """The current shortage and the load limit of connections that follows from it.
 
-    `max_connection_load` is the heaviest load of a connection that may stay; infinity without a shortage.
+    `missing_fraction` is the fraction of the spare capacity (0 to 1) that is missing according to the endpoint list.
+    `max_connection_load` is the heaviest load of a connection that is not migrated, infinity without a shortage.
     """
 
     def __init__(self) -> None:
@@ -45,20 +46,23 @@
         lost_connections: float,
         mean_load: float = 0.0,
     ) -> None:
-        """Compute both figures anew, in O(n).
+        """Recompute the missing fraction and the maximum load of a connection, in O(n).
 
-        `servers` include those that drain or warm up. `fleet_connections` is an estimate for the whole fleet,
-        `weight` 0 where the shortage does not apply and towards 1 for many balancers, `lost_connections` a decaying
-        count, `mean_load` that of connections, 0 where too few were reported.
+        `servers` includes draining servers and servers that are warming up. `fleet_connections` is the estimated
+        number of connections of the whole fleet. `weight` scales the shortage: 0 where it does not apply, close to 1
+        for many balancers. `lost_connections` is a decaying count. `mean_load` is the mean load of a connection, or 0
+        where too few loads were reported.
         """
-        listed = sum(server.listed for server in servers)
-        lacking = 1 - sum(server.available for server in servers) / listed if listed else 0.0
-        self.missing_fraction = weight * min(1.0, lacking / SPARE_CAPACITY_FRACTION)
-        by_losses = weight * LOST_CONNECTIONS_WEIGHT * lost_connections / (1 + lost_connections)
-        shortage = max(self.missing_fraction, by_losses)
-        allowed = max(
-            FAIR_SHARE_FRACTION * listed / max(1, fleet_connections),
-            MIN_LOAD_FRACTION_OF_SERVER * listed / max(1, len(servers)),
+        listed_cores = sum(server.listed_cores for server in servers)
+        unavailable_fraction = (
+            1 - sum(server.available_cores for server in servers) / listed_cores if listed_cores else 0.0
+        )
+        self.missing_fraction = weight * min(1.0, unavailable_fraction / SPARE_CAPACITY_FRACTION)
+        loss_shortage = weight * LOST_CONNECTIONS_WEIGHT * lost_connections / (1 + lost_connections)
+        shortage = max(self.missing_fraction, loss_shortage)
+        allowed_load = max(
+            FAIR_SHARE_FRACTION * listed_cores / max(1, fleet_connections),
+            MIN_LOAD_FRACTION_OF_SERVER * listed_cores / max(1, len(servers)),
             MIN_LOAD_FRACTION_OF_MEAN * mean_load,
         )
-        self.max_connection_load = allowed / shortage if shortage > NEGLIGIBLE_SHORTAGE else float("inf")
+        self.max_connection_load = allowed_load / shortage if shortage > NEGLIGIBLE_SHORTAGE else float("inf")
--- a/aspensaddle/core/load_accounting.py
+++ b/aspensaddle/core/load_accounting.py
@@ -1,7 +1,8 @@
-"""Load accounting: what each server carries, and the mean load of a connection.
+"""Load accounting: the load of each server, and the mean load of a connection.
 
-A connection counts with its load from its attempt to its end. One of unknown load counts with the mean. Every session
-group that a server holds any of costs it a number of mean loads.
+A connection counts towards the load of its server from the start of its attempt until it ends. While its own load is
+unknown, it counts as a connection of mean load. Each session group with a connection at a server adds
+`session_group_cost` mean loads to that server.
 """
 
 from __future__ import annotations
@@ -12,27 +13,29 @@
 from aspensaddle.core.server_state import Server
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
-MAX_LOAD_SAMPLES = 100  # the mean is one over so many connections and follows a change of traffic
-MIN_MEAN_LOAD_RATIO = 0.8  # to the mean load at the last layout, or its inverse, before the rotation is rebuilt
+MAX_LOAD_SAMPLES = 100  # the mean covers about this many connections, so that it follows changes of traffic
+# The rotation is rebuilt when the ratio of the mean load to its value at the last layout leaves the range from this
+# number to its inverse.
+MIN_MEAN_LOAD_RATIO = 0.8
 
 
 class LoadAccounting:
-    """Keeps the loads of servers and the sums of `BalancerState` in step with requests and reports."""
+    """Updates the loads of servers and the load sums of `BalancerState` as requests and load reports arrive."""
 
     def __init__(self, state: BalancerState, rotation: WeightedRotation) -> None:
-        """Account into `state`."""
+        """Keep the sums in `state`; update `rotation` when the load of a server changes."""
         self._state = state
         self._rotation = rotation
 
     def add_request(self, server: Server, request: RequestState) -> None:
-        """Count a request's attempt or connection at a server."""
-        self._change(server, request, 1)
+        """Add the load of a request, which is an attempt or a connection, to a server."""
+        self._count_request(server, request, 1)
 
     def remove_request(self, server: Server, request: RequestState) -> None:
-        """Take a request's attempt or connection off a server."""
-        self._change(server, request, -1)
+        """Remove the load of a request, which is an attempt or a connection, from a server."""
+        self._count_request(server, request, -1)
 
-    def _change(self, server: Server, request: RequestState, sign: int) -> None:
+    def _count_request(self, server: Server, request: RequestState, sign: int) -> None:
         self._state.tenant_quotas.add_connections(request.request.tenant, sign)
         server.request_count += sign
         if request.load is None:
@@ -47,18 +50,21 @@
         self.update_load(server)
 
     def update_load(self, server: Server) -> None:
-        """Weigh a server anew, after its connections, a report or the mean load changed."""
-        before = server.load
+        """Recompute the load of a server after its connections, its load report or the mean load changed."""
+        previous_load = server.load
         server.load = self.compute_load(server)
-        if server.id in self._state.servers:  # the total of the last layout has no other
-            self._state.total_load += server.load - before
+        if server.id in self._state.servers:  # the total load includes only listed servers
+            self._state.total_load += server.load - previous_load
         if server.share:
             for pool in self._state.pools_of(server):
-                pool.load += (server.load - before) * server.is_available
+                pool.load += (server.load - previous_load) * server.is_available
             self._rotation.queue(server)
 
     def compute_load(self, server: Server) -> float:
-        """Update this balancer's load of a server; return its load, by its reports that of all balancers."""
+        """Update `own_load` of a server and its sum in the state; return the load of the server.
+
+        That is the load from this balancer, or from all balancers where load reports are used.
+        """
         state = self._state
         assumed_connections = server.connections_of_unknown_load + state.session_group_cost * len(
             server.session_groups
@@ -71,19 +77,20 @@
         return own_load
 
     def add_load_sample(self, now: float, load: float) -> None:
-        """Take the load of a connection into the mean.
+        """Add the load of a connection to the mean, and rebuild the rotation if the mean has drifted.
 
-        Turns computed with a mean that has drifted make servers without known loads look loaded.
+        The turns of servers in the rotation were computed with an earlier mean. If that has drifted, servers without
+        known loads look loaded.
         """
         state = self._state
         state.load_samples = min(state.load_samples + 1, MAX_LOAD_SAMPLES)
         state.mean_load += (load - state.mean_load) / state.load_samples
-        at_layout = self._rotation.mean_load_at_layout
-        if not MIN_MEAN_LOAD_RATIO * at_layout <= state.mean_load <= at_layout / MIN_MEAN_LOAD_RATIO:
+        mean_at_layout = self._rotation.mean_load_at_layout
+        if not MIN_MEAN_LOAD_RATIO * mean_at_layout <= state.mean_load <= mean_at_layout / MIN_MEAN_LOAD_RATIO:
             self._rotation.lay_out(now, self.compute_load)
 
     def update_typical_load(self) -> None:
-        """Follow the load per ready server, once a tick."""
+        """Update the smoothed load per ready server. Called once per tick."""
         state = self._state
         mean_server_load = state.total_load / max(1, state.ready_count)
         if state.typical_server_load:
@@ -92,5 +99,5 @@
             state.typical_server_load = mean_server_load
 
     def mean_connection_load(self) -> float:
-        """Return the mean load of this balancer's connections, the sampled mean without any."""
+        """Return the mean load of this balancer's connections, or the sampled mean if there are none."""
         return self._state.own_load / max(1, len(self._state.requests)) or self._state.mean_load
--- a/aspensaddle/core/load_report_fields.py
+++ b/aspensaddle/core/load_report_fields.py
@@ -1,4 +1,4 @@
-"""The platform's names of load report fields, mapped to `LoadReport`."""
+"""Names of load report fields on the platform, and their conversion to a `LoadReport`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 UTILIZATION_FIELD = "x0"
 CONNECTIONS_FIELD = "inflight"
-NOT_REPORTED = -1.0  # out of range, so that the report is rejected as a whole
+NOT_REPORTED = -1.0  # out of range, so that a report without this field is rejected as a whole
 
 
 def parse_load_report(fields: Mapping[str, float]) -> LoadReport:
-    """Return the report of a health check. Unknown fields are ignored."""
+    """Return the load report with the given fields. Unknown fields are ignored."""
     return LoadReport(
         utilization=fields.get(UTILIZATION_FIELD, NOT_REPORTED),
         connections=fields.get(CONNECTIONS_FIELD, NOT_REPORTED),
@@ -20,5 +20,5 @@
 
 
 def has_load_fields(field_names: Iterable[str]) -> bool:
-    """Return whether reports with these fields tell the load that all balancers together ask of a server."""
+    """Return whether reports with these fields contain the load that all balancers together place on a server."""
     return {UTILIZATION_FIELD, CONNECTIONS_FIELD} <= set(field_names)
--- a/aspensaddle/core/request_rate.py
+++ b/aspensaddle/core/request_rate.py
@@ -2,33 +2,37 @@
 
 from __future__ import annotations
 
-PRIOR_REQUESTS_PER_SECOND = 10.0  # of a process that has seen nothing
+PRIOR_REQUESTS_PER_SECOND = 10.0  # rate that is assumed for a process that has not seen any requests
 
 
 class RequestRate:
-    """An exponentially weighted rate. Every operation costs O(1)."""
+    """An exponentially weighted moving average of the request rate. Every operation costs O(1).
+
+    The average starts at one request per second, as if the process had received that since long ago. `smoothed`
+    includes this assumption; `observed` takes it out again and uses the prior in its place.
+    """
 
     def __init__(self, span_ticks: float) -> None:
-        """Weigh requests over `span_ticks` ticks of one second."""
+        """Average over about `span_ticks` ticks of one second."""
         self._span = span_ticks
         self._count = span_ticks
         self._prior_weight = 1 / (span_ticks * PRIOR_REQUESTS_PER_SECOND)
-        self._unseen = 1.0  # weight of the time before the start
+        self._prestart_weight = 1.0  # weight of the time before the process started
 
     def count(self) -> None:
         """Count one request."""
         self._count += 1
 
     def tick(self) -> None:
-        """Let one second pass."""
+        """Age the counts by one second."""
         self._count *= 1 - 1 / self._span
-        self._unseen *= 1 - 1 / self._span
+        self._prestart_weight *= 1 - 1 / self._span
 
     def smoothed(self) -> float:
-        """Return requests per second, one per second being assumed for the time before the start."""
+        """Return the requests per second, with one per second assumed for the time before the process started."""
         return self._count / self._span
 
     def observed(self) -> float:
-        """Return requests per second by what was seen, and the prior where next to nothing was."""
-        seen = self._count - (self._span - 1) * self._unseen
-        return seen / (self._span * (1 + self._prior_weight - self._unseen))
+        """Return the requests per second observed since the process started; close to the prior at first."""
+        observed_count = self._count - (self._span - 1) * self._prestart_weight
+        return observed_count / (self._span * (1 + self._prior_weight - self._prestart_weight))
--- a/aspensaddle/core/retry_policy.py
+++ b/aspensaddle/core/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry policy: whether a request may be attempted again, and where, without a second effect."""
+"""Retry policy: whether a request may be retried, and on which servers, without taking effect twice."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 def may_retry_on(now: float, request: RequestState, request_class: RequestClass, server: Server) -> bool:
-    """Return whether an attempt at a server can have no second effect.
+    """Return whether an attempt at `server` cannot make the request take effect twice.
 
-    After an attempt that may have been executed, a request with an idempotency key stays within the scope and the
-    window in which duplicates are dropped, and one that is not idempotent is not attempted again.
+    Any server is allowed until an attempt may have been executed. After that, an idempotent request may still be
+    retried anywhere, a request with an idempotency key only within its deduplication scope and window, and a request
+    that is not idempotent nowhere.
     """
-    first = request.possibly_executed_on
-    if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+    first_server = request.possibly_executed_on
+    if first_server is None or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
     if not request_class.allows_retry_after(now - request.possibly_executed_at):
         return False
@@ -23,18 +24,18 @@
         case DeduplicationScope.ALL:
             return True
         case DeduplicationScope.ZONE:
-            return server.zone == first.zone
+            return server.zone == first_server.zone
         case DeduplicationScope.CELL:
-            return server.cell == first.cell
+            return server.cell == first_server.cell
 
 
 def attempts_exhausted(request: RequestState, limits: Limits) -> bool:
-    """Return whether the request has used all its attempts."""
+    """Return whether the request has used all the attempts that the limits allow."""
     return request.attempts >= limits.max_attempts
 
 
 def give_up_reason(request: RequestState, time_left: float, limits: Limits) -> RejectReason:
-    """Return why no further attempt is made; `time_left` are seconds until the deadline."""
+    """Return why no further attempt is made. `time_left` is in seconds until the deadline."""
     if attempts_exhausted(request, limits):
         return RejectReason.ATTEMPTS_EXHAUSTED
     if time_left <= 0:
--- a/aspensaddle/core/tenant_quotas.py
+++ b/aspensaddle/core/tenant_quotas.py
@@ -1,7 +1,8 @@
-"""Connection quotas of tenants: whether this balancer holds its part of a quota.
+"""Connection quotas of tenants.
 
-Quotas hold for all balancers together and no balancer sees the others. Each has the part of a quota that it has of
-all connections, or an even part where that is not known.
+A quota limits the connections of a tenant at all balancers together, but a balancer cannot see the connections of
+the others. Each balancer therefore enforces a share of the quota: its fraction of all connections, or an equal share
+where the number of all connections is not known.
 """
 
 from __future__ import annotations
@@ -10,25 +11,27 @@
 
 
 class TenantQuotas:
-    """The connections that this balancer holds for each tenant."""
+    """Counts the connections of each tenant at this balancer and compares them with the quotas."""
 
     def __init__(self) -> None:
-        """Start without connections and quotas."""
-        self.quotas: tuple[float, ...] = ()  # connections at all balancers, by tenant; no bound beyond the tuple
-        self._held = Counter[int]()
+        """Start with no connections and no quotas."""
+        # Connections allowed at all balancers together, indexed by tenant; a tenant beyond the end has no limit.
+        self.quotas: tuple[float, ...] = ()
+        self._connections = Counter[int]()
 
-    def add_connections(self, tenant: int, change: int) -> None:
-        """Add `change` connections of a tenant."""
-        self._held[tenant] += change
-        if not self._held[tenant]:
-            del self._held[tenant]  # bounds memory by the tenants that hold connections
+    def add_connections(self, tenant: int, delta: int) -> None:
+        """Add `delta` connections of a tenant; a negative `delta` removes connections."""
+        self._connections[tenant] += delta
+        if not self._connections[tenant]:
+            del self._connections[tenant]  # limits memory use to the tenants that have connections
 
     def is_reached(self, tenant: int, own_connections: int, all_connections: float, balancer_count: int) -> bool:
-        """Return whether a tenant has reached this balancer's part of its quota.
+        """Return whether a tenant has used up this balancer's share of its quota.
 
-        `all_connections` are those of all balancers, 0 where that is not known.
+        `own_connections` is the number of connections at this balancer, of all tenants. `all_connections` is that
+        number for all balancers together, or 0 if unknown.
         """
         if not 0 <= tenant < len(self.quotas):
             return False
-        part = min(1.0, own_connections / all_connections) if all_connections else 1 / balancer_count
-        return self._held[tenant] >= self.quotas[tenant] * part
+        quota_share = min(1.0, own_connections / all_connections) if all_connections else 1 / balancer_count
+        return self._connections[tenant] >= self.quotas[tenant] * quota_share
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -29,15 +29,15 @@
     servers = [ServerCapacity(cores, cores * warm) for cores, warm in listed]
     short = CapacityShortage()
     short.update(servers, stand, blind, breaks)
-    cores = sum(server.listed for server in servers)
+    cores = sum(server.listed_cores for server in servers)
     assert 0 <= short.missing_fraction <= blind
     assert short.max_connection_load >= max(
         FAIR_SHARE_FRACTION * cores / max(1, stand), MIN_LOAD_FRACTION_OF_SERVER * cores / max(1, len(servers))
     )
     tight, eased = CapacityShortage(), CapacityShortage()
-    tight.update([ServerCapacity(server.listed, 0.0) for server in servers], stand, blind, breaks + 1)
+    tight.update([ServerCapacity(server.listed_cores, 0.0) for server in servers], stand, blind, breaks + 1)
     assert tight.missing_fraction >= short.missing_fraction and tight.max_connection_load <= short.max_connection_load
-    eased.update([ServerCapacity(server.listed, server.listed) for server in servers], stand, blind, 0.0)
+    eased.update([ServerCapacity(server.listed_cores, server.listed_cores) for server in servers], stand, blind, 0.0)
     assert eased.missing_fraction == 0 and eased.max_connection_load == float("inf")
 
 
