--- a/tests/load_report_harness.py
+++ b/tests/load_report_harness.py
@@ -1,4 +1,4 @@
-"""A balancer whose servers report their load."""
+"""A test harness for a balancer whose servers send load reports."""
 
 from __future__ import annotations
 
@@ -19,16 +19,19 @@
 )
 
 
-def report_load(harness: BalancerHarness, server: int, x0: float, held: float = 100, **more: float) -> list:
-    told = parse_load_report({"x0": x0, "inflight": held, **more})
-    return harness.balancer.handle(harness.now, HealthCheckCompleted(server, Outcome.OK, 0.01, told)) or []
+def report_load(
+    harness: BalancerHarness, server: int, utilization: float, connections: float = 100, **other_fields: float
+) -> list:
+    """Let a health check of a server complete with a load report; return the actions that follow."""
+    report = parse_load_report({"x0": utilization, "inflight": connections, **other_fields})
+    return harness.balancer.handle(harness.now, HealthCheckCompleted(server, Outcome.OK, 0.01, report)) or []
 
 
-def harness_with_reports(servers=4, **more) -> BalancerHarness:
-    """A harness with five connections a server, whose servers all reported a utilization of 0.4."""
-    harness = BalancerHarness(servers, replace(HEALTH_CHECK_SETTINGS, **more))
+def harness_with_reports(servers=4, **settings) -> BalancerHarness:
+    """Return a harness with five connections per server on average; each server has reported a utilization of 0.4."""
+    harness = BalancerHarness(servers, replace(HEALTH_CHECK_SETTINGS, **settings))
     for _ in range(5 * len(harness.balancer.servers)):
         harness.place(load_hint=0.02)
-    for n in harness.balancer.servers:
-        report_load(harness, n, 0.4)
+    for server in harness.balancer.servers:
+        report_load(harness, server, 0.4)
     return harness
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -1,4 +1,4 @@
-"""Capacity shortage: the heaviest load of a connection that may stay."""
+"""Capacity shortage: the missing fraction, and the heaviest load of a connection that is not migrated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 CORES = st.floats(0, 100)
 
 
-# A derandomized test draws by the hash of its source; the seed keeps the draws of an earlier source.
+# Hypothesis seeds a derandomized test with the hash of its source; this seed keeps the draws of an earlier source.
 @hypothesis.seed(0x0E0A90713AC8CC6B1406E9B9C757BC0FAF1DB04AA7C6B4B53B8612D9A1AF28561CB274164F2FC4C27741B7217CFB092A)
 @given(
     st.lists(st.tuples(CORES, st.floats(0, 1)), max_size=30),
@@ -25,37 +25,53 @@
     st.floats(0, 1),
     st.floats(0, 99),
 )
-def test_allowed_load_is_at_least_a_fair_share_and_unlimited_without_a_shortage(listed, stand, blind, breaks):
-    servers = [ServerCapacity(cores, cores * warm) for cores, warm in listed]
-    short = CapacityShortage()
-    short.update(servers, stand, blind, breaks)
+def test_allowed_load_is_at_least_a_fair_share_and_unlimited_without_a_shortage(
+    cores_and_warmth, fleet_connections, weight, losses
+):
+    servers = [ServerCapacity(cores, cores * warmth) for cores, warmth in cores_and_warmth]
+    shortage = CapacityShortage()
+    shortage.update(servers, fleet_connections, weight, losses)
     cores = sum(server.listed_cores for server in servers)
-    assert 0 <= short.missing_fraction <= blind
-    assert short.max_connection_load >= max(
-        FAIR_SHARE_FRACTION * cores / max(1, stand), MIN_LOAD_FRACTION_OF_SERVER * cores / max(1, len(servers))
+    assert 0 <= shortage.missing_fraction <= weight
+    assert shortage.max_connection_load >= max(
+        FAIR_SHARE_FRACTION * cores / max(1, fleet_connections),
+        MIN_LOAD_FRACTION_OF_SERVER * cores / max(1, len(servers)),
+    )
+    total_shortage, no_shortage = CapacityShortage(), CapacityShortage()
+    total_shortage.update(
+        [ServerCapacity(server.listed_cores, 0.0) for server in servers], fleet_connections, weight, losses + 1
+    )
+    assert (
+        total_shortage.missing_fraction >= shortage.missing_fraction
+        and total_shortage.max_connection_load <= shortage.max_connection_load
     )
-    tight, eased = CapacityShortage(), CapacityShortage()
-    tight.update([ServerCapacity(server.listed_cores, 0.0) for server in servers], stand, blind, breaks + 1)
-    assert tight.missing_fraction >= short.missing_fraction and tight.max_connection_load <= short.max_connection_load
-    eased.update([ServerCapacity(server.listed_cores, server.listed_cores) for server in servers], stand, blind, 0.0)
-    assert eased.missing_fraction == 0 and eased.max_connection_load == float("inf")
+    no_shortage.update(
+        [ServerCapacity(server.listed_cores, server.listed_cores) for server in servers],
+        fleet_connections,
+        weight,
+        0.0,
+    )
+    assert no_shortage.missing_fraction == 0 and no_shortage.max_connection_load == float("inf")
+
 
+def shortage_of(available_cores: float, **overrides: float) -> CapacityShortage:
+    """Return the shortage of ten servers of one core each, with 100 connections in the fleet.
 
-def shortage_of(available: float, **more: float) -> CapacityShortage:
-    """Ten servers of one core each, with `available` cores in all and 100 connections in the fleet."""
+    `available_cores` is the sum over the servers.
+    """
     shortage = CapacityShortage()
-    figures = {"fleet_connections": 100, "weight": 1.0, "lost_connections": 0.0, **more}
-    shortage.update([ServerCapacity(1.0, available / 10)] * 10, **figures)
+    arguments = {"fleet_connections": 100, "weight": 1.0, "lost_connections": 0.0, **overrides}
+    shortage.update([ServerCapacity(1.0, available_cores / 10)] * 10, **arguments)
     return shortage
 
 
-@pytest.mark.parametrize(("available", "missing"), [(10.0, 0.0), (8.75, 0.5), (7.5, 1.0), (0.0, 1.0)])
-def test_missing_is_the_fraction_of_the_spare_quarter_that_is_not_available(available, missing):
-    assert shortage_of(available).missing_fraction == pytest.approx(missing)
+@pytest.mark.parametrize(("available_cores", "missing_fraction"), [(10.0, 0.0), (8.75, 0.5), (7.5, 1.0), (0.0, 1.0)])
+def test_missing_fraction_is_the_part_of_the_spare_quarter_that_is_not_available(available_cores, missing_fraction):
+    assert shortage_of(available_cores).missing_fraction == pytest.approx(missing_fraction)
 
 
-def test_allowed_load_falls_with_the_shortage():
-    # A fair share is 0.25 * 10 cores / 100 connections; 0.03 of a server's cores are more.
+def test_allowed_load_falls_as_the_shortage_grows():
+    # The fair share, 0.25 * 10 cores / 100 connections, is less than the 0.03 of a server's cores that count here.
     assert shortage_of(7.5).max_connection_load == pytest.approx(0.03)
     assert shortage_of(8.75).max_connection_load == pytest.approx(0.03 / 0.5)
     assert shortage_of(10.0).max_connection_load == float("inf")
@@ -65,12 +81,12 @@
     assert shortage_of(7.5, mean_load=0.2).max_connection_load == pytest.approx(0.1)
 
 
-def test_lost_connections_limit_the_load_without_missing_capacity():
+def test_lost_connections_limit_the_allowed_load_even_without_missing_capacity():
     shortage = shortage_of(10.0, lost_connections=1.0)
     assert shortage.missing_fraction == 0.0
     assert shortage.max_connection_load == pytest.approx(0.03 / (0.3 * 0.5))
 
 
-def test_balancer_that_sees_the_whole_fleet_finds_no_shortage():
+def test_weight_of_zero_gives_no_shortage():
     shortage = shortage_of(0.0, weight=0.0, lost_connections=9.0)
     assert (shortage.missing_fraction, shortage.max_connection_load) == (0.0, float("inf"))
--- a/tests/test_load_accounting.py
+++ b/tests/test_load_accounting.py
@@ -1,4 +1,4 @@
-"""Load accounting: what each server carries."""
+"""Load accounting: the load of each server."""
 
 from __future__ import annotations
 
@@ -18,35 +18,36 @@
 
 
 def test_first_reported_loads_do_not_make_servers_without_reports_look_loaded():
-    """The mean load is unknown at the start. Turns computed with the initial guess are not kept."""
+    """The mean load is only a guess at the start. Turns computed with that guess must not stay in the rotation."""
     for seed in range(5):
         harness = BalancerHarness(4, seed=seed)
         for n in range(20):
-            send = harness.place()
+            attempt = harness.place()
             harness.balancer.handle(
-                harness.now, ConnectionLoadReported(send.request_id, send.server, 0.01 + 0.002 * (n % 5))
+                harness.now, ConnectionLoadReported(attempt.request_id, attempt.server, 0.01 + 0.002 * (n % 5))
             )
-        held = [len(s.connections) for s in harness.balancer.servers.values()]
-        assert max(held) <= 8, held
+        connection_counts = [len(record.connections) for record in harness.balancer.servers.values()]
+        assert max(connection_counts) <= 8, connection_counts
 
 
-def test_session_groups_of_a_server_count_as_load():
+def test_each_session_group_of_a_server_adds_its_cost_to_the_load():
     harness = BalancerHarness(2, settings=replace(SETTINGS, session_groups=True))
-    groups = [harness.place(session_group=n, load_hint=0.1) for n in range(8)]
-    held = {n: len(s.session_groups) for n, s in harness.balancer.servers.items()}
-    (most, least) = sorted(held, key=lambda n: -held[n])
-    for send in groups:
-        if send.server == least:
-            harness.end(send, Outcome.OK, finished=True)
-    assert not harness.balancer.servers[least].session_groups
-    here = held[most]  # each costs three mean loads and its own
-    assert all(harness.place(load_hint=0.1).server == least for _ in range(4 * here - 2))
-
-
-def test_mean_load_of_zero_is_valid():
+    attempts = [harness.place(session_group=group, load_hint=0.1) for group in range(8)]
+    group_counts = {server_id: len(record.session_groups) for server_id, record in harness.balancer.servers.items()}
+    (with_groups, without_groups) = sorted(group_counts, key=lambda server_id: -group_counts[server_id])
+    for attempt in attempts:
+        if attempt.server == without_groups:
+            harness.end(attempt, Outcome.OK, finished=True)
+    assert not harness.balancer.servers[without_groups].session_groups
+    # Each session group adds three mean loads and the load of its connection.
+    group_count = group_counts[with_groups]
+    assert all(harness.place(load_hint=0.1).server == without_groups for _ in range(4 * group_count - 2))
+
+
+def test_mean_load_of_zero_does_not_prevent_new_attempts():
     harness = BalancerHarness(2)
-    send = harness.place()
-    harness.balancer.handle(harness.now, ConnectionLoadReported(send.request_id, send.server, 0.0))
+    attempt = harness.place()
+    harness.balancer.handle(harness.now, ConnectionLoadReported(attempt.request_id, attempt.server, 0.0))
     assert isinstance(harness.place(), StartAttempt)
 
 
@@ -58,15 +59,15 @@
     assert harness.balancer.servers[1].load == 0
 
 
-def test_reported_load_replaces_the_hint():
+def test_reported_load_of_a_connection_replaces_its_load_hint():
     harness = BalancerHarness(2)
-    send = harness.place(load_hint=1.0)
-    harness.balancer.handle(harness.now, ConnectionLoadReported(send.request_id, send.server, 4.0))
-    assert harness.balancer.servers[send.server].load == 4.0
+    attempt = harness.place(load_hint=1.0)
+    harness.balancer.handle(harness.now, ConnectionLoadReported(attempt.request_id, attempt.server, 4.0))
+    assert harness.balancer.servers[attempt.server].load == 4.0
 
 
-def test_load_is_released_when_the_client_disconnects():
+def test_load_of_a_connection_is_removed_when_its_client_disconnects():
     harness = BalancerHarness(2)
-    send = harness.place()
-    harness.balancer.handle(harness.now, ClientDisconnected(send.request_id))
-    assert harness.balancer.servers[send.server].load == 0 and not harness.balancer.requests
+    attempt = harness.place()
+    harness.balancer.handle(harness.now, ClientDisconnected(attempt.request_id))
+    assert harness.balancer.servers[attempt.server].load == 0 and not harness.balancer.requests
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retry policy: one final answer in time, and no second effect of a request."""
+"""Retry policy: every request gets one final action in time and never takes effect twice."""
 
 from __future__ import annotations
 
@@ -14,53 +14,54 @@
 from aspensaddle.core.server_state import Server
 from aspensaddle.core.settings import DeduplicationScope, Idempotency, Limits, RequestClass
 
-SAFE, KEYED, UNSAFE = 0, 1, 2
+IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS = 0, 1, 2  # class indexes; keyed: with an idempotency key
 
 
-def two_attempts(harness: BalancerHarness, cls: int, outcome: Outcome):
-    (send,) = harness.ask(cls=cls)
-    (answer,) = harness.end(send, outcome)
-    return send, answer
+def attempt_and_next_action(harness: BalancerHarness, class_index: int, outcome: Outcome):
+    """Start a request and end its first attempt; return that attempt and the action that follows."""
+    (attempt,) = harness.ask(cls=class_index)
+    (action,) = harness.end(attempt, outcome)
+    return attempt, action
 
 
 def test_attempts_are_bounded_where_every_server_rejects():
     harness = BalancerHarness(30)
     for _ in range(100):
-        (a,) = harness.ask()
-        sends = 0
-        while isinstance(a, StartAttempt):
-            sends += 1
-            (a,) = harness.end(a, Outcome.REJECTED)
-        assert isinstance(a, Reject) and sends == SETTINGS.limits.max_attempts
+        (action,) = harness.ask()
+        attempts = 0
+        while isinstance(action, StartAttempt):
+            attempts += 1
+            (action,) = harness.end(action, Outcome.REJECTED)
+        assert isinstance(action, Reject) and attempts == SETTINGS.limits.max_attempts
 
 
-def test_attempt_timeout_is_the_time_left_of_the_client():
+def test_attempt_timeout_is_the_time_left_of_the_request():
     harness = BalancerHarness(1)
-    (send,) = harness.ask(left=1.2)
-    assert send.timeout == pytest.approx(1.2)
+    (attempt,) = harness.ask(left=1.2)
+    assert attempt.timeout == pytest.approx(1.2)
 
 
-def test_no_retry_after_the_deadline():
+def test_request_is_not_retried_after_its_deadline():
     harness = BalancerHarness(3)
-    (send,) = harness.ask(left=1.0)
+    (attempt,) = harness.ask(left=1.0)
     harness.now += 1.0
-    (answer,) = harness.end(send, Outcome.TIMED_OUT)
-    assert isinstance(answer, (Fail, Reject))
+    (action,) = harness.end(attempt, Outcome.TIMED_OUT)
+    assert isinstance(action, (Fail, Reject))
     assert not harness.balancer.requests
 
 
-def test_single_server_that_rejects_ends_in_a_rejection():
+def test_request_is_rejected_where_the_only_server_rejects_it():
     harness = BalancerHarness(1)
     (action,) = harness.ask()
-    sends = 1
+    attempts = 1
     while isinstance(action, StartAttempt):
         (action,) = harness.end(action, Outcome.REJECTED)
-        sends += 1
-        assert sends < 20
+        attempts += 1
+        assert attempts < 20
     assert isinstance(action, Reject)
 
 
-def test_no_more_attempts_than_allowed():
+def test_request_is_rejected_after_the_maximum_number_of_attempts():
     harness = BalancerHarness(8, settings=replace(SETTINGS, limits=Limits(max_attempts=3)))
     (action,) = harness.ask()
     for _ in range(2):
@@ -72,29 +73,29 @@
 
 def test_established_connection_is_not_retried():
     harness = BalancerHarness(3)
-    send = harness.place()
-    assert harness.end(send, Outcome.CONNECTION_LOST, finished=True) == []
+    attempt = harness.place()
+    assert harness.end(attempt, Outcome.CONNECTION_LOST, finished=True) == []
     assert not harness.balancer.requests
 
 
-@pytest.mark.parametrize("outcome", [o for o in Outcome if o is not Outcome.OK])
+@pytest.mark.parametrize("outcome", [member for member in Outcome if member is not Outcome.OK])
 def test_not_idempotent_request_is_retried_only_if_it_was_not_executed(outcome):
-    _, answer = two_attempts(BalancerHarness(4), UNSAFE, outcome)
-    assert isinstance(answer, StartAttempt if outcome.known_not_executed else Fail)
+    _, action = attempt_and_next_action(BalancerHarness(4), NOT_IDEMPOTENT_CLASS, outcome)
+    assert isinstance(action, StartAttempt if outcome.known_not_executed else Fail)
 
 
-@pytest.mark.parametrize("group", list(DeduplicationScope))
-def test_keyed_retry_stays_in_the_deduplication_scope_of_the_first_server(group):
-    classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
+@pytest.mark.parametrize("scope", list(DeduplicationScope))
+def test_keyed_retry_stays_in_the_deduplication_scope_of_the_first_server(scope):
+    classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope))
     servers = [entry(n, zone=n % 2, cell=n % 4) for n in range(8)]
     for seed in range(10):
         harness = BalancerHarness(servers, settings=replace(SETTINGS, classes=classes, zone_count=2), seed=seed)
-        send, again = two_attempts(harness, KEYED, Outcome.TIMED_OUT)
-        assert isinstance(again, StartAttempt)
-        if group is DeduplicationScope.ZONE:
-            assert again.server % 2 == send.server % 2
-        if group is DeduplicationScope.CELL:
-            assert again.server % 4 == send.server % 4
+        attempt, retry = attempt_and_next_action(harness, KEYED_CLASS, Outcome.TIMED_OUT)
+        assert isinstance(retry, StartAttempt)
+        if scope is DeduplicationScope.ZONE:
+            assert retry.server % 2 == attempt.server % 2
+        if scope is DeduplicationScope.CELL:
+            assert retry.server % 4 == attempt.server % 4
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window():
@@ -108,22 +109,22 @@
         ),
     )
     harness = BalancerHarness(4, settings=replace(SETTINGS, classes=classes))
-    (send,) = harness.ask(cls=KEYED)
+    (attempt,) = harness.ask(cls=KEYED_CLASS)
     harness.now += 0.5
-    (answer,) = harness.end(send, Outcome.CONNECTION_LOST)
-    assert isinstance(answer, Fail)
+    (action,) = harness.end(attempt, Outcome.CONNECTION_LOST)
+    assert isinstance(action, Fail)
 
 
 def test_possibly_executed_keyed_request_is_rejected_only_where_all_servers_deduplicate():
-    for group, final in (
+    for scope, expected_type in (
         (DeduplicationScope.ALL, Reject),
         (DeduplicationScope.ZONE, Fail),
         (DeduplicationScope.CELL, Fail),
     ):
-        classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=group))
+        classes = (CLASS, replace(CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_scope=scope))
         harness = BalancerHarness(1, settings=replace(SETTINGS, classes=classes, limits=Limits(max_attempts=1)))
-        _, answer = two_attempts(harness, KEYED, Outcome.ERROR)
-        assert isinstance(answer, final)
+        _, action = attempt_and_next_action(harness, KEYED_CLASS, Outcome.ERROR)
+        assert isinstance(action, expected_type)
 
 
 FIRST_SERVER = Server(entry(1, zone=0, cell=0), 0.0)
@@ -133,6 +134,7 @@
 
 
 def possibly_executed_request(executed_at: float = 0.0) -> RequestState:
+    """Return a request whose attempt at `FIRST_SERVER` may have been executed."""
     request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
     request.possibly_executed_on = FIRST_SERVER
     request.possibly_executed_at = executed_at
@@ -146,7 +148,7 @@
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-def test_any_server_may_be_tried_while_no_attempt_may_have_been_executed(idempotency):
+def test_request_may_be_retried_anywhere_until_an_attempt_may_have_been_executed(idempotency):
     request = RequestState(Request("r1", 0, 3.0), deadline=3.0)
     assert may_retry_on(1.0, request, replace(CLASS, idempotency=idempotency), OTHER_ZONE)
 
@@ -173,14 +175,14 @@
     assert not may_retry_on(10.5, request, request_class, FIRST_SERVER)
 
 
-def test_possibly_executed_request_is_retried_anywhere_if_idempotent_and_nowhere_if_not():
+def test_possibly_executed_request_may_be_retried_anywhere_if_idempotent_and_nowhere_if_not():
     request = possibly_executed_request()
     not_idempotent = replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT)
     assert may_retry_on(100.0, request, CLASS, OTHER_ZONE)
     assert not may_retry_on(0.0, request, not_idempotent, FIRST_SERVER)
 
 
-def test_reason_to_give_up_is_the_attempts_then_the_deadline_then_the_missing_server():
+def test_give_up_reason_is_exhausted_attempts_then_the_deadline_then_the_missing_server():
     limits = Limits(max_attempts=2)
     request = possibly_executed_request()
     request.no_server_reason = RejectReason.SLOW_START_LIMIT
