--- a/aspensaddle/core/request_rate.py
+++ b/aspensaddle/core/request_rate.py
@@ -8,8 +8,8 @@
 class RequestRate:
     """An exponentially weighted moving average of the request rate. Every operation costs O(1).
 
-    The average starts at one request per second, as if the process had received that since long ago. `smoothed`
-    includes this assumption; `observed` takes it out again and uses the prior in its place.
+    The average starts at one request per second, as if the process had received that rate for a long time before its
+    start. `smoothed` includes these assumed requests; `observed` leaves them out and uses the prior in their place.
     """
 
     def __init__(self, span_ticks: float) -> None:
--- a/aspensaddle/core/tenant_quotas.py
+++ b/aspensaddle/core/tenant_quotas.py
@@ -11,7 +11,7 @@
 
 
 class TenantQuotas:
-    """Counts the connections of each tenant at this balancer and compares them with the quotas."""
+    """Counts the connections and attempts of each tenant at this balancer and compares them with the quotas."""
 
     def __init__(self) -> None:
         """Start with no connections and no quotas."""
@@ -28,8 +28,8 @@
     def is_reached(self, tenant: int, own_connections: int, all_connections: float, balancer_count: int) -> bool:
         """Return whether a tenant has used up this balancer's share of its quota.
 
-        `own_connections` is the number of connections at this balancer, of all tenants. `all_connections` is that
-        number for all balancers together, or 0 if unknown.
+        `own_connections` is the number of connections of all tenants at this balancer, `all_connections` that number
+        for all balancers together, or 0 if unknown.
         """
         if not 0 <= tenant < len(self.quotas):
             return False
--- a/tests/test_admission_of_requests.py
+++ b/tests/test_admission_of_requests.py
@@ -48,9 +48,9 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "are_rejected"), [(1, False), (2, False), (40, True), (HUNDREDS_OF_BALANCERS, True)]
+    ("count", "expects_rejections"), [(1, False), (2, False), (40, True), (HUNDREDS_OF_BALANCERS, True)]
 )
-def test_many_balancers_reject_only_reconnecting_clients_while_connections_are_being_lost(count, are_rejected):
+def test_many_balancers_reject_only_reconnecting_clients_while_connections_are_being_lost(count, expects_rejections):
     """If all clients reconnected at once, they would keep the server down that lost their connections. With many
     balancers, none of them can tell which server that is."""
     harness = BalancerHarness(LARGE_SERVER_COUNT, replace(SETTINGS, balancer_count=count))
@@ -67,7 +67,7 @@
 
     assert rejections(True) == 0
     lose_connections(harness, 8)
-    assert (rejections(True) > 60) is are_rejected and rejections(False) == 0
+    assert (rejections(True) > 60) is expects_rejections and rejections(False) == 0
     for _ in range(90):
         harness.tick()
     assert rejections(True) <= 10
--- a/tests/test_load_accounting.py
+++ b/tests/test_load_accounting.py
@@ -34,14 +34,14 @@
     harness = BalancerHarness(2, settings=replace(SETTINGS, session_groups=True))
     attempts = [harness.place(session_group=group, load_hint=0.1) for group in range(8)]
     group_counts = {server_id: len(record.session_groups) for server_id, record in harness.balancer.servers.items()}
-    (with_groups, without_groups) = sorted(group_counts, key=lambda server_id: -group_counts[server_id])
+    (loaded_server, emptied_server) = sorted(group_counts, key=lambda server_id: -group_counts[server_id])
     for attempt in attempts:
-        if attempt.server == without_groups:
+        if attempt.server == emptied_server:
             harness.end(attempt, Outcome.OK, finished=True)
-    assert not harness.balancer.servers[without_groups].session_groups
+    assert not harness.balancer.servers[emptied_server].session_groups
     # Each session group adds three mean loads and the load of its connection.
-    group_count = group_counts[with_groups]
-    assert all(harness.place(load_hint=0.1).server == without_groups for _ in range(4 * group_count - 2))
+    group_count = group_counts[loaded_server]
+    assert all(harness.place(load_hint=0.1).server == emptied_server for _ in range(4 * group_count - 2))
 
 
 def test_mean_load_of_zero_does_not_prevent_new_attempts():
