--- a/aspensaddle/core/balancer.py
+++ b/aspensaddle/core/balancer.py
@@ -133,12 +133,12 @@
         self.outlier_ejection.decay_lost_connections()
         self.state.request_rate.tick()
         self.passive_measurement.advance_slot()
-        self.accounting.smooth_typical_load()
+        self.accounting.update_typical_load()
         # A changed list is applied at once; pending ratio increases wait until the measurement window ends.
         if self.rotation.needs_rebuild or (
             not self.passive_measurement.slot and self.rotation.pending_ratio_increase
         ):
-            self.rotation.rebuild(now, self.accounting.weigh)
+            self.rotation.rebuild(now, self.accounting.compute_load)
         return [
             *self.health_checks.start_due_checks(now),
             *self.migration.migrate_off_most_loaded_server(),
@@ -165,7 +165,7 @@
         request = RequestState(event, now + event.time_left)
         state.requests[event.request_id] = request
         if request.load is not None:
-            self.accounting.sample_load(now, request.load)
+            self.accounting.add_load_sample(now, request.load)
         state.session_groups.record_request(event.session_group)
         reason = self.admission.reject_reason(request)
         if reason is not None:
@@ -190,7 +190,7 @@
         request.tried_servers = [*request.tried_servers, server.id]
         server.last_attempt_at = now
         self.outlier_ejection.attempt_started(now, server, time_left)
-        self.accounting.charge(server, request)
+        self.accounting.add_request(server, request)
         return [StartAttempt(request.request.request_id, server.id, time_left)]
 
     def _preferred_server_count(self, request: RequestState) -> int:
@@ -247,7 +247,7 @@
         return self._attempt(now, request)
 
     def _release(self, request: RequestState, server: Server) -> None:
-        self.accounting.discharge(server, request)
+        self.accounting.remove_request(server, request)
         server.connections.pop(request.request.request_id, None)
         request.server = None
 
@@ -263,7 +263,7 @@
         request.server = server
         request.is_established = True
         self.state.session_groups.record_request(event.request.session_group)
-        self.accounting.charge(server, request)
+        self.accounting.add_request(server, request)
         return []
 
     def _client_disconnected(self, now: float, event: ClientDisconnected) -> list[Action]:
@@ -279,10 +279,10 @@
         if request is None or request.server is None:
             return []
         if request.load is None:
-            self.accounting.sample_load(now, event.load)
-        self.accounting.discharge(request.server, request)
+            self.accounting.add_load_sample(now, event.load)
+        self.accounting.remove_request(request.server, request)
         request.load = event.load
-        self.accounting.charge(request.server, request)
+        self.accounting.add_request(request.server, request)
         return [*self.migration.migrate_if_heavy(request.server, event.request_id, event.load)]
 
     def _server_latency_reported(self, now: float, event: ServerLatencyReported) -> list[Action]:
--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -38,7 +38,7 @@
     def record_report(self, now: float, server: Server, report: LoadReport | None) -> bool:
         """Record the report of a server; return whether it was usable."""
         state = self._state
-        mean_load = self._accounting.mean_own_load()
+        mean_load = self._accounting.mean_connection_load()
         if not state.uses_load_reports:
             return False
         capacity_fraction = state.capacity_fraction(now, server)
@@ -48,5 +48,5 @@
         if server.reported.capacity and capacity_fraction >= 1.0:
             report_count = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
             state.reported_capacity += (server.reported.capacity - state.reported_capacity) / report_count
-        self._accounting.recount(server)
+        self._accounting.update_load(server)
         return True
--- a/aspensaddle/core/server_selection.py
+++ b/aspensaddle/core/server_selection.py
@@ -112,7 +112,7 @@
         preferred = sorted(
             islice(candidates, request.preferred_server_count), key=lambda server: server.normalized_load
         )
-        if state.shortage.missing:  # each client keeps its preferred server while servers join and leave
+        if state.shortage.missing_fraction:  # each client keeps its preferred server while servers join and leave
             client = request.request.affinity_key or state.random.getrandbits(RANDOM_KEY_BITS)
             preferred = rendezvous_order(client, preferred)
         if self._is_rejected_until_warmed_up(now, request, preferred):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,7 +81,7 @@
 
     def rebuild_rotation(self) -> None:
         """Rebuild the weighted rotation by the current loads."""
-        self.balancer.rotation.rebuild(self.now, self.balancer.accounting.weigh)
+        self.balancer.rotation.rebuild(self.now, self.balancer.accounting.compute_load)
 
     def tick(self, seconds: float = 1.0) -> list[Action]:
         self.now += seconds
