--- a/aspensaddle/core/balancer_state.py
+++ b/aspensaddle/core/balancer_state.py
@@ -50,8 +50,8 @@
         self.own_load = 0.0  # load of this balancer's connections
         self.reported_capacity = 0.0  # smoothed capacity of a warm server; 0 without load reports
         self.reported_connections = 0.0  # connections of all balancers; 0 without load reports
-        # Failures.
-        # 0 with few balancers; near 1 with many, if few servers hold this balancer's connections.
+        # Failures. `unobserved_weight` is 0 with few balancers, and near 1 with many if only a few servers hold
+        # connections of this balancer.
         self.unobserved_weight = 0.0
         self.lost_connections = 0.0  # decaying count
 
--- a/aspensaddle/core/health_checks.py
+++ b/aspensaddle/core/health_checks.py
@@ -13,7 +13,8 @@
 from aspensaddle.core.load_reports import health_check_interval
 from aspensaddle.core.server_state import Server
 
-CAPACITY_SMOOTHING_REPORTS = 10  # the capacity of a warm server is a running mean over so many reports
+# The capacity of a warm server is a running mean over this many reports, from any servers.
+FLEET_CAPACITY_SMOOTHING_REPORTS = 10
 
 
 class HealthChecks:
@@ -46,7 +47,7 @@
         if not server.reported.update(report, server.own_load, mean_load, default_capacity):
             return False
         if server.reported.capacity and capacity_fraction >= 1.0:
-            report_count = CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
+            report_count = FLEET_CAPACITY_SMOOTHING_REPORTS if state.reported_capacity else 1
             state.reported_capacity += (server.reported.capacity - state.reported_capacity) / report_count
         self._accounting.update_load(server)
         return True
--- a/aspensaddle/core/latency_outliers.py
+++ b/aspensaddle/core/latency_outliers.py
@@ -12,7 +12,7 @@
 from aspensaddle.core.passive_measurement import PassiveMeasurement
 from aspensaddle.core.server_pool import ServerPool
 from aspensaddle.core.server_state import Server
-from aspensaddle.core.slow_responses import SLOW_FRACTION
+from aspensaddle.core.slow_responses import SLOW_LATENCY_FRACTION
 from aspensaddle.core.weighted_rotation import WeightedRotation
 
 SLOW_SECONDS = 2.5  # duration of a mark without a further report; reports come once a second
@@ -37,7 +37,7 @@
         With many balancers a server stays marked for longer, so that all balancers together attempt it as often as a
         few would. For a server with connections of this balancer, `clear_stale_marks` ends the mark earlier.
         """
-        is_slow = latency >= self._state.message_latency_objective * SLOW_FRACTION
+        is_slow = latency >= self._state.message_latency_objective * SLOW_LATENCY_FRACTION
         was_slow = server.slow_until > now
         mark_seconds = SLOW_SECONDS * max(1.0, self._state.settings.balancer_count / USUAL_BALANCER_COUNT)
         server.latency_reported_at = now
--- a/aspensaddle/core/migration.py
+++ b/aspensaddle/core/migration.py
@@ -17,7 +17,7 @@
 REBALANCE_MIN_LOAD_PER_CORE = 0.3  # load in cores per listed core above which a server is rebalanced
 REBALANCE_MIN_LOAD_RATIO = 1.5  # ratio to the fleet's mean load per share above which a server is rebalanced
 MIN_LOAD_SAMPLES = 10  # connections with a known load that a reliable mean load needs
-MAX_UTILIZATION = 0.95  # load over reported capacity above which the excess is migrated
+MAX_UTILIZATION_BEFORE_MIGRATION = 0.95  # load over reported capacity above which the excess is migrated
 
 
 class Migration:
@@ -64,7 +64,7 @@
         capacity = server.reported.capacity
         if not capacity or not server.load:
             return []
-        return self._migrate_fraction(server, 1 - MAX_UTILIZATION * capacity / server.load)
+        return self._migrate_fraction(server, 1 - MAX_UTILIZATION_BEFORE_MIGRATION * capacity / server.load)
 
     def migrate_heavy_connections(self, now: float) -> list[Migrate]:
         """Update the capacity shortage, and migrate the connections whose load is too heavy in it."""
--- a/aspensaddle/core/settings.py
+++ b/aspensaddle/core/settings.py
@@ -78,6 +78,8 @@
 
     `overload_multiple` limits the load that all balancers together send to a server that is warming up, within any
     `overload_window` seconds, as a multiple of its capacity. `poll_interval` limits the age of the endpoint list.
+    A server has at least `initial_capacity_fraction` of its capacity when it starts, and all of it
+    `slow_start_duration` later. An attempt may reach a draining server up to `drain_grace` after draining began.
     """
 
     response_grace: float = 0.0
--- a/aspensaddle/core/slow_responses.py
+++ b/aspensaddle/core/slow_responses.py
@@ -7,7 +7,7 @@
 from aspensaddle.core.settings import Settings
 
 REPORT_INTERVAL_SECONDS = 1.0  # as often as servers report their latency themselves
-SLOW_FRACTION = 1 / 3  # part of the shortest message latency objective from which on a latency is slow
+SLOW_LATENCY_FRACTION = 1 / 3  # threshold of a slow latency, relative to the shortest message latency objective
 
 
 class _ServerResponses:
@@ -33,7 +33,7 @@
     def configure(self, settings: Settings) -> None:
         """Use the latency objectives of other settings from now on."""
         objective = min(request_class.message_latency_objective for request_class in settings.classes)
-        self._slow_latency = SLOW_FRACTION * objective
+        self._slow_latency = SLOW_LATENCY_FRACTION * objective
 
     def record_event_loop_lag(self, lag: float) -> None:
         """Record by how much the event loop of this process was late. Each call halves the lag recorded before."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -62,14 +62,16 @@
 
     def establish(self, attempt: Action, latency: float = 0.01) -> list[Action]:
         assert isinstance(attempt, StartAttempt)
-        n = self.balancer.requests[attempt.request_id].attempts - 1
-        return self.balancer.handle(self.now, ConnectionEstablished(attempt.request_id, n, attempt.server, latency))
+        attempt_number = self.balancer.requests[attempt.request_id].attempts - 1
+        return self.balancer.handle(
+            self.now, ConnectionEstablished(attempt.request_id, attempt_number, attempt.server, latency)
+        )
 
     def end(self, attempt: Action, outcome: Outcome = Outcome.OK, finished: bool = False) -> list[Action]:
         assert isinstance(attempt, StartAttempt)
-        n = self.balancer.requests[attempt.request_id].attempts - 1
+        attempt_number = self.balancer.requests[attempt.request_id].attempts - 1
         return self.balancer.handle(
-            self.now, AttemptEnded(attempt.request_id, n, attempt.server, outcome, 0.01, finished)
+            self.now, AttemptEnded(attempt.request_id, attempt_number, attempt.server, outcome, 0.01, finished)
         )
 
     def place(self, **fields: Any) -> StartAttempt:
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -44,7 +44,7 @@
     settings = Settings(classes, zone_count=zones, balancer_count=3, rules=SETTINGS.rules, limits=limits)
     servers = [make_endpoint(n, zone=n % zones, cell=n) for n in range(1, 7)]
     harness = BalancerHarness(servers, settings=settings, seed=seed)
-    server_states = {e.server: e.state for e in servers}
+    server_states = {endpoint.server: endpoint.state for endpoint in servers}
     attempts_in_progress: dict[str, StartAttempt] = {}  # by request id, established connections included
     possibly_executed: dict[str, tuple[int, float]] = {}  # server and start of the first such attempt
     requests: dict[str, tuple[int, float]] = {}  # class index and deadline
@@ -124,8 +124,10 @@
                 )
             )
         elif kind == "complete list":
-            listed = [e for e in servers if n >> e.server & 1]
-            server_states = {e.server: ServerState.READY if e in listed else ServerState.GONE for e in servers}
+            listed = [endpoint for endpoint in servers if n >> endpoint.server & 1]
+            server_states = {
+                endpoint.server: ServerState.READY if endpoint in listed else ServerState.GONE for endpoint in servers
+            }
             check_actions(
                 harness.balancer.handle(harness.now, EndpointsChanged(EndpointUpdateScope.COMPLETE, tuple(listed)))
             )
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -23,9 +23,9 @@
 from aspensaddle.core.server_state import Server
 
 
-def server_records(entries: list[Endpoint], rotation_offset: float = 0.0) -> list[Server]:
-    servers = [Server(endpoint, rotation_offset) for endpoint in entries]
-    for server, endpoint in zip(servers, entries, strict=True):
+def server_records(endpoints: list[Endpoint], rotation_offset: float = 0.0) -> list[Server]:
+    servers = [Server(endpoint, rotation_offset) for endpoint in endpoints]
+    for server, endpoint in zip(servers, endpoints, strict=True):
         server.update(endpoint, ())
     return servers
 
@@ -68,7 +68,7 @@
 
     If each of many balancers placed connections by its own load alone, nearly every connection would add that cost.
     """
-    draw, groups = Random(1), range(30)
+    rng, groups = Random(1), range(30)
     sizes = [1 / (rank + 1) for rank in groups]
     harnesses = [
         BalancerHarness(LARGE_SERVER_COUNT, SESSION_GROUP_SETTINGS, seed=n) for n in range(HUNDREDS_OF_BALANCERS)
@@ -76,7 +76,7 @@
     connections_by_pair = Counter[tuple[int, int]]()  # by session group and server
     for _ in range(5):
         for harness in harnesses:
-            group = draw.choices(groups, sizes)[0]
+            group = rng.choices(groups, sizes)[0]
             connections_by_pair[group, harness.place(load_hint=LOAD, session_group=group).server] += 1
     connections_by_server = Counter[int]()
     for (_, server), n in connections_by_pair.items():
@@ -86,31 +86,31 @@
 
 
 def test_preferred_order_is_the_same_at_all_balancers_and_a_leaving_server_affects_only_its_own_groups():
-    servers, draw = server_records(large_fleet(40)), Random(1)
+    servers, rng = server_records(large_fleet(40)), Random(1)
     affected_groups = 0
     for group in range(60):
         order = [server.id for server in preferred_order(group, servers)]
         assert sorted(order) == list(range(40))
         assert order == [
-            server.id for server in preferred_order(group, draw.sample(server_records(large_fleet(40), 0.7), 40))
+            server.id for server in preferred_order(group, rng.sample(server_records(large_fleet(40), 0.7), 40))
         ]
         order_without_0 = [server.id for server in preferred_order(group, servers[1:])]
         assert order_without_0 == [n for n in order if n != 0]
         affected_groups += order[0] == 0
-        client = draw.getrandbits(60)
+        client = rng.getrandbits(60)
         first = rendezvous_order(client, [servers[n] for n in order[:4]])[0]
         assert rendezvous_order(client, [servers[n] for n in order[:4] if n == first.id or n % 2])[0] is first
     assert affected_groups <= 6  # the mean is a fortieth of the 60 groups
 
 
 def test_clients_of_a_group_are_spread_by_weight_over_ready_servers_with_a_weight():
-    entries = [
+    endpoints = [
         *large_fleet(20),
         *(make_endpoint(n, weight=4.0) for n in range(20, 30)),
         make_endpoint(30, weight=0.0),
         make_endpoint(31, weight=2.0, state=ServerState.DRAINING),
     ]
-    preferred = preferred_order(5, server_records(entries))
+    preferred = preferred_order(5, server_records(endpoints))
     clients_by_server = Counter(rendezvous_order(client, preferred)[0].id for client in range(3000))
     on_large_servers = sum(clients_by_server[n] for n in range(20, 30))
     assert (
@@ -119,7 +119,7 @@
         and not clients_by_server[30]
         and not clients_by_server[31]
     )
-    groups_by_server = Counter(preferred_order(group, server_records(entries))[0].id for group in range(3000))
+    groups_by_server = Counter(preferred_order(group, server_records(endpoints))[0].id for group in range(3000))
     # The groups themselves are spread over all servers with a weight.
     assert min(groups_by_server[n] for n in range(30)) >= 20 and not groups_by_server[30]
 
@@ -129,26 +129,26 @@
 
     The pairs of session group and server must stay near those before each restart.
     """
-    draw, groups, clients = Random(1), range(30), range(600)
-    group_of = dict(zip(clients, draw.choices(groups, [1 / (group + 2) for group in groups], k=600), strict=True))
-    entries = large_fleet(60)
+    rng, groups, clients = Random(1), range(30), range(600)
+    group_of = dict(zip(clients, rng.choices(groups, [1 / (group + 2) for group in groups], k=600), strict=True))
+    endpoints = large_fleet(60)
 
     def place_all_clients(harnesses: list[BalancerHarness]) -> set[tuple[int, int]]:
         """Return the pairs of session group and server that result."""
         pairs = set()
         for client in clients:
-            harness = draw.choice(harnesses)
+            harness = rng.choice(harnesses)
             attempt = harness.place(affinity_key=10_000 + client, session_group=group_of[client], load_hint=0.05)
             pairs.add((group_of[client], attempt.server))
         return pairs
 
-    harnesses = [BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=n) for n in range(200)]
+    harnesses = [BalancerHarness(endpoints, SESSION_GROUP_SETTINGS, seed=n) for n in range(200)]
     before = place_all_clients(harnesses)
     restarted = place_all_clients(
-        [BalancerHarness(entries, SESSION_GROUP_SETTINGS, seed=1000 + n) for n in range(200)]
+        [BalancerHarness(endpoints, SESSION_GROUP_SETTINGS, seed=1000 + n) for n in range(200)]
     )
     assert len(before) <= 150 and len(before | restarted) <= 1.5 * len(before)
-    half_replaced = [endpoint for endpoint in entries if endpoint.server % 2] + [
+    half_replaced = [endpoint for endpoint in endpoints if endpoint.server % 2] + [
         make_endpoint(100 + n, weight=2.0, started_at=900.0) for n in range(30)
     ]
     after_replacement = place_all_clients(
@@ -160,9 +160,9 @@
 
 def test_reconnecting_client_is_rejected_while_its_preferred_server_warms_up():
     """Otherwise the load that the servers warming up cannot bear yet would overload the warm ones."""
-    entries = [make_endpoint(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
+    endpoints = [make_endpoint(n, weight=2.0, started_at=1000.0 if n < 10 else 0.0) for n in range(20)]
 
-    def ask_for_all_clients(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
+    def submit_for_all_clients(harness: BalancerHarness, reconnecting: bool = True) -> list[StartAttempt | Reject]:
         actions = [
             harness.submit_request(affinity_key=n, session_group=n % 25, load_hint=0.05, reconnecting=reconnecting)[0]
             for n in range(1, 11)
@@ -177,18 +177,18 @@
         )
         return actions
 
-    harness = BalancerHarness(entries, SESSION_GROUP_SETTINGS, now=1001.0)
+    harness = BalancerHarness(endpoints, SESSION_GROUP_SETTINGS, now=1001.0)
     # Half of the preferred servers are warming up, and most of their clients are rejected.
-    assert 10 <= sum(isinstance(action, Reject) for action in ask_for_all_clients(harness)) <= 60
-    assert not any(isinstance(action, Reject) for action in ask_for_all_clients(harness, reconnecting=False))
+    assert 10 <= sum(isinstance(action, Reject) for action in submit_for_all_clients(harness)) <= 60
+    assert not any(isinstance(action, Reject) for action in submit_for_all_clients(harness, reconnecting=False))
     assert not any(
         isinstance(action, Reject)
-        for action in ask_for_all_clients(
-            BalancerHarness(entries, replace(SESSION_GROUP_SETTINGS, balancer_count=2), now=1001.0)
+        for action in submit_for_all_clients(
+            BalancerHarness(endpoints, replace(SESSION_GROUP_SETTINGS, balancer_count=2), now=1001.0)
         )
     )
     harness.now += SETTINGS.rules.slow_start_duration
-    assert not any(isinstance(action, Reject) for action in ask_for_all_clients(harness))
+    assert not any(isinstance(action, Reject) for action in submit_for_all_clients(harness))
 
 
 def test_groups_of_a_single_client_and_requests_without_an_affinity_key_are_placed():
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -129,7 +129,7 @@
 
     The highest load per core speed is at most 1.25 times that under random placement.
     """
-    machine_type_count, servers, draw = len(settings.machine_types), 8, Random(seed)
+    machine_type_count, servers, rng = len(settings.machine_types), 8, Random(seed)
     endpoints = [
         make_endpoint(
             n, zone=n % settings.zone_count, machine_type=n % machine_type_count if machine_type_count else -1
@@ -148,15 +148,15 @@
             for other in harnesses:
                 other.withdraw_server(0, ServerState.DRAINING)
         (answer,) = harness.submit_request(
-            class_index=draw.randrange(len(settings.classes)),
-            tenant=draw.randrange(-1, 45),
-            session_group=draw.randrange(12) if settings.session_groups else None,
+            class_index=rng.randrange(len(settings.classes)),
+            tenant=rng.randrange(-1, 45),
+            session_group=rng.randrange(12) if settings.session_groups else None,
         )
         attempts = 1
-        while isinstance(answer, StartAttempt) and draw.random() < 0.1:
+        while isinstance(answer, StartAttempt) and rng.random() < 0.1:
             assert not (answer.server == 0 and step >= 120)
             (answer,) = harness.end(
-                answer, draw.choice([Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.CONNECTION_LOST])
+                answer, rng.choice([Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.CONNECTION_LOST])
             )
             attempts += 1
         assert attempts <= 7 and (
@@ -165,7 +165,7 @@
         if isinstance(answer, StartAttempt):
             harness.establish(answer)
             load[answer.server] += 0.01
-            random_load[draw.randrange(servers)] += 0.01
+            random_load[rng.randrange(servers)] += 0.01
         if step % 24 == 23:
             for other in harnesses:
                 for action in other.tick(0.5):
@@ -177,9 +177,9 @@
                             100 * load[action.server],
                         )
     if not settings.session_groups and settings.balancer_count <= 3 and not settings.tenant_connection_quotas:
-        assert max(h / c for h, c in zip(load[1:], speeds[1:], strict=True)) <= 1.25 * max(
-            h / c for h, c in zip(random_load[1:], speeds[1:], strict=True)
-        )
+        assert max(
+            server_load / speed for server_load, speed in zip(load[1:], speeds[1:], strict=True)
+        ) <= 1.25 * max(server_load / speed for server_load, speed in zip(random_load[1:], speeds[1:], strict=True))
 
 
 @pytest.mark.parametrize("count", BALANCER_COUNTS)
@@ -201,7 +201,7 @@
         [listed_target(0), *(listed_target(n, NOW) for n in (1, 2))],
     )
     for seed in range(4):
-        harness, draw = (
+        harness, rng = (
             DiscoveryHarness(
                 targets, count, seed, rules=rules, classes=classes, session_group_cost=cost, session_groups=True
             ),
@@ -210,6 +210,6 @@
         # One warm server is enough.
         assert isinstance((final_actions := [harness.finish_request(session_group=seed)])[0], StartAttempt)
         for n in range(40):
-            final_actions.append(harness.finish_request(draw, class_index=n % len(classes), session_group=n % 5))
+            final_actions.append(harness.finish_request(rng, class_index=n % len(classes), session_group=n % 5))
             harness.tick(0.1)
         assert len(harness.balancer.requests) == sum(isinstance(action, StartAttempt) for action in final_actions) > 1
--- a/tests/test_capacity_shortage.py
+++ b/tests/test_capacity_shortage.py
@@ -26,9 +26,9 @@
     st.floats(0, 99),
 )
 def test_allowed_load_is_at_least_a_fair_share_and_unlimited_without_a_shortage(
-    cores_and_warmth, fleet_connections, weight, losses
+    cores_and_fractions, fleet_connections, weight, losses
 ):
-    servers = [ServerCapacity(cores, cores * warmth) for cores, warmth in cores_and_warmth]
+    servers = [ServerCapacity(cores, cores * capacity_fraction) for cores, capacity_fraction in cores_and_fractions]
     shortage = CapacityShortage()
     shortage.update(servers, fleet_connections, weight, losses)
     cores = sum(server.listed_cores for server in servers)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -11,7 +11,7 @@
 from aspensaddle.core.admission import MAX_UTILIZATION
 from aspensaddle.core.events import HealthCheckCompleted, Outcome
 from aspensaddle.core.load_report_fields import parse_load_report
-from aspensaddle.core.migration import MAX_UTILIZATION as MAX_UTILIZATION_BEFORE_MIGRATION
+from aspensaddle.core.migration import MAX_UTILIZATION_BEFORE_MIGRATION
 from aspensaddle.frontends.line_protocol.health_checker import parse_report
 
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -46,7 +46,7 @@
 
 def decisions(settings: dict, tmp_path) -> list:
     """Return the replies of a balancer with these settings to a hundred requests, through the simulator adapter."""
-    host, draw, replies = Host(), random.Random(3), []
+    host, rng, replies = Host(), random.Random(3), []
     events = [
         {"kind": "LAUNCH", "init-seed": 5, "options": settings},
         {
@@ -66,7 +66,7 @@
                 "grade": n % 2,
                 "owner": n % 3,
                 "time-left": 1.0,
-                "channel": draw.randrange(9),
+                "channel": rng.randrange(9),
             }
         )
         batch = {"t": 1000.0 + n / 10, "balancers": [{"balancer": 0, "in": events}]}
@@ -84,10 +84,10 @@
         "host-types": ["fast-runner", "plain-runner"],
         "tenants": [{"name": tenant} for tenant in ("taller-leon", "taller-puebla", "x")],
     }
-    draw = random.Random(1)
+    rng = random.Random(1)
 
     def random_name(_):
-        return "".join(draw.choices("bcdfghjklmnp", k=9))
+        return "".join(rng.choices("bcdfghjklmnp", k=9))
 
     renamed = {
         **named,
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -88,8 +88,8 @@
 @pytest.mark.parametrize(("count", "avoided"), [(2, False), (200, True)])
 def test_server_that_lost_a_connection_is_avoided_by_its_session_groups_for_a_time(count, avoided):
     """Guards against clients that all reconnect to the server that lost them before it has recovered."""
-    leaving = [make_endpoint(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
-    harness = BalancerHarness([*large_fleet(60), *leaving], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
+    draining = [make_endpoint(n, weight=2.0, state=ServerState.DRAINING) for n in range(60, 70)]
+    harness = BalancerHarness([*large_fleet(60), *draining], replace(SESSION_GROUP_SETTINGS, balancer_count=count))
     first = harness.place(affinity_key=7, session_group=3)
     harness.tick(3.0)
     harness.end(first, Outcome.CONNECTION_LOST, finished=True)
--- a/tests/test_slow_responses.py
+++ b/tests/test_slow_responses.py
@@ -5,13 +5,13 @@
 import pytest
 from helpers import SETTINGS
 
-from aspensaddle.core.slow_responses import REPORT_INTERVAL_SECONDS, SLOW_FRACTION, SlowResponseDetector
+from aspensaddle.core.slow_responses import REPORT_INTERVAL_SECONDS, SLOW_LATENCY_FRACTION, SlowResponseDetector
 
 NOW = 1000.0
 SERVER = 1
 OBJECTIVE = SETTINGS.classes[0].message_latency_objective
-SLOW = 2 * SLOW_FRACTION * OBJECTIVE
-FAST = SLOW_FRACTION * OBJECTIVE / 2
+SLOW = 2 * SLOW_LATENCY_FRACTION * OBJECTIVE
+FAST = SLOW_LATENCY_FRACTION * OBJECTIVE / 2
 
 
 def test_slow_response_is_reported_with_its_delay():
@@ -24,7 +24,7 @@
 
 def test_delay_at_the_threshold_is_not_slow():
     detector = SlowResponseDetector(SETTINGS)
-    assert detector.record(NOW, SERVER, SLOW_FRACTION * OBJECTIVE) is None
+    assert detector.record(NOW, SERVER, SLOW_LATENCY_FRACTION * OBJECTIVE) is None
 
 
 def test_each_server_is_reported_at_most_once_an_interval():
