--- a/aspensaddle/conformance/cases/routable.py
+++ b/aspensaddle/conformance/cases/routable.py
@@ -5,7 +5,7 @@
 from aspensaddle.conformance.packet_builder import short_header_packet
 from aspensaddle.conformance.suite import case
 from aspensaddle.conformance.testbed import FORM, ID_KEY, Testbed, TestbedSetup, ids_toml, server_id
-from aspensaddle.frontends.quic.ids import IdFormat
+from aspensaddle.frontends.quic.connection_ids import IdFormat
 
 PLAIN = IdFormat(0, 1, 7)
 FOUR = IdFormat(3, 3, 6, ID_KEY)
--- a/aspensaddle/conformance/memory_frontend.py
+++ b/aspensaddle/conformance/memory_frontend.py
@@ -13,7 +13,7 @@
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_endpoint_list
 from aspensaddle.frontends.quic.engine import Engine
-from aspensaddle.frontends.quic.packets import Malformed
+from aspensaddle.frontends.quic.packets import MalformedPacketError
 from aspensaddle.frontends.quic.session import Path as QuicPath
 from aspensaddle.frontends.quic.settings import load_quic
 from aspensaddle.support.config_errors import ConfigError
@@ -116,7 +116,7 @@
         self.counters.add("quic datagrams in")
         try:
             self.engine.from_client(data, source)
-        except Malformed:
+        except MalformedPacketError:
             self.counters.add("quic malformed")
 
     def timer(self) -> float | None:
--- a/aspensaddle/conformance/quic_server.py
+++ b/aspensaddle/conformance/quic_server.py
@@ -23,10 +23,10 @@
 from aspensaddle.conformance.net import Address, Net
 from aspensaddle.conformance.quic_versions import V1, V2
 from aspensaddle.conformance.server_certificate import server_configuration
-from aspensaddle.frontends.quic.ids import IdFormat, reset_token
+from aspensaddle.frontends.quic.connection_ids import IdFormat, reset_token
 from aspensaddle.frontends.quic.initial import CONNECTION_REFUSED, INTERNAL_ERROR, InitialKeys
 from aspensaddle.frontends.quic.packets import long_packets, parse_invariants
-from aspensaddle.frontends.quic.tokens import Tokens, Verdict
+from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenVerdict
 
 RESET_KEY = bytes(range(32))
 MAX_ISSUED_IDS = 8  # per connection, if the client accepts as many
@@ -84,7 +84,7 @@
     source_addresses: set[Address] = field(default_factory=set)
     first_seen_at: dict[bytes, float] = field(default_factory=dict)  # by the id that the client chose
     recent_datagrams: deque[bytes] = field(default_factory=lambda: deque(maxlen=RECENT_DATAGRAMS))
-    token_verdicts: list[Verdict] = field(default_factory=list)
+    token_verdicts: list[TokenVerdict] = field(default_factory=list)
 
 
 class QuicServer:
@@ -98,7 +98,7 @@
         mode: ServerMode,
         tickets: dict[bytes, SessionTicket],
         unix: Callable[[], float],
-        tokens: Tokens | None,
+        tokens: RetryTokens | None,
     ) -> None:
         """Take an address in `net`.
 
@@ -199,7 +199,7 @@
         elif self.tokens is not None and token:
             # The server sees the balancer's address, not the client's: it can check the ids and the time only.
             proof = self.tokens.read(token, self.unix())
-            self.records.token_verdicts.append(Verdict.NONE if proof is None else Verdict.VALID)
+            self.records.token_verdicts.append(TokenVerdict.NONE if proof is None else TokenVerdict.VALID)
             if proof is not None:
                 original, retried = proof.original, dcid
         self.records.connections += 1
--- a/aspensaddle/conformance/testbed.py
+++ b/aspensaddle/conformance/testbed.py
@@ -16,8 +16,8 @@
 from aspensaddle.conformance.quic_client import ClientOptions, QuicClient
 from aspensaddle.conformance.quic_server import RESET_KEY, QuicServer, ServerMode
 from aspensaddle.conformance.raw_endpoint import RawEndpoint
-from aspensaddle.frontends.quic.ids import IdFormat
-from aspensaddle.frontends.quic.tokens import TokenKey, Tokens
+from aspensaddle.frontends.quic.connection_ids import IdFormat
+from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenKey
 
 ID_KEY = b"sixteen octets!!"
 FORM = IdFormat(2, 2, 14, key=ID_KEY)
@@ -87,7 +87,7 @@
         """Start all ends; with `memory` without sockets, `seed` for the balancers there."""
         self.setup, self.seed, self.memory = setup, seed, memory
         self.net: Net = MemoryNet() if memory else SocketNet()
-        self.tokens = Tokens([TokenKey(5, TOKEN_SECRET)], TOKEN_LIFETIME)
+        self.tokens = RetryTokens([TokenKey(5, TOKEN_SECRET)], TOKEN_LIFETIME)
         tickets: dict[bytes, Any] = {}
         self.servers: list[QuicServer] = []
         for i, mode in enumerate(setup.modes):
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from aspensaddle.daemon.store_integration import StoredEndpointSource
-    from aspensaddle.frontends.quic.front import Front
+    from aspensaddle.frontends.quic.frontend import QuicFrontend
     from aspensaddle.store.replica import Replica
 
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
@@ -102,12 +102,12 @@
             reserve=reserved_sockets,
         )
 
-    def _create_quic_frontend(self, quic_settings: QuicSettings | None) -> Front | None:
+    def _create_quic_frontend(self, quic_settings: QuicSettings | None) -> QuicFrontend | None:
         if quic_settings is None:
             return None
-        from aspensaddle.frontends.quic.front import Front
+        from aspensaddle.frontends.quic.frontend import QuicFrontend
 
-        return Front(quic_settings, self._driver, self._registry, self._counters, self._log)
+        return QuicFrontend(quic_settings, self._driver, self._registry, self._counters, self._log)
 
     def _create_reloader(self, source: ConfigSource, replica: Replica | None) -> ConfigReloader:
         stored_settings = None
--- a/aspensaddle/frontends/quic/gate.py
+++ b/aspensaddle/frontends/quic/address_validation.py
@@ -14,7 +14,7 @@
 PENDING_PART = 0.5  # of the sessions that may be placed at once
 
 
-class Gate:
+class AddressValidationPolicy:
     def __init__(self, above_per_s: float, most_pending: int) -> None:
         """`above_per_s`: unproven first Initials a second; 0 asks each for a proof, infinity none."""
         self.above, self.most_pending = above_per_s, most_pending
--- a/aspensaddle/frontends/quic/hello.py
+++ b/aspensaddle/frontends/quic/client_hello.py
@@ -1,6 +1,6 @@
 """A client's TLS ClientHello: put together from the pieces that its Initials bring, and read.
 
-Bounded in octets and pieces: what is over raises `HelloError`. How long it is waited for is the caller's.
+Bounded in octets and pieces: what is over raises `ClientHelloError`. How long it is waited for is the caller's.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 _NAME = re.compile(r"(?=.{1,253}$)[a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63})*")
 
 
-class HelloError(Exception):
+class ClientHelloError(Exception):
     """The client's TLS is not a ClientHello, or is larger than any should be."""
 
 
 @dataclass(frozen=True, slots=True)
-class Hello:
+class ClientHello:
     """What the rules may ask for."""
 
     name: str = ""  # the server name (SNI), in lower case; empty where there is none that can be used
@@ -35,7 +35,7 @@
     encrypted: bool = False  # the true name is hidden (ECH): the outer one is no client's wish
 
 
-class Reassembly:
+class CryptoStreamReassembler:
     """The CRYPTO stream of a client's Initials from its beginning on (RFC 9000, 7.5 and 19.6)."""
 
     __slots__ = ("_apart", "_head")
@@ -50,10 +50,10 @@
         return len(self._head) + sum(map(len, self._apart.values()))
 
     def add(self, offset: int, data: bytes) -> bool:
-        """Take a piece; whether any of it is new. Raises `HelloError` over the bounds."""
+        """Take a piece; whether any of it is new. Raises `ClientHelloError` over the bounds."""
         end = offset + len(data)
         if end > MOST_OCTETS:
-            raise HelloError(f"a ClientHello over {MOST_OCTETS} octets")
+            raise ClientHelloError(f"a ClientHello over {MOST_OCTETS} octets")
         if end <= len(self._head) or any(o <= offset and end <= o + len(d) for o, d in self._apart.items()):
             return False
         if offset > len(self._head):
@@ -61,7 +61,7 @@
             for o in [o for o, d in self._apart.items() if offset <= o and o + len(d) <= end]:
                 del self._apart[o]
             if len(self._apart) >= MOST_PIECES or self.octets + len(data) > MOST_OCTETS:
-                raise HelloError("too many pieces of a ClientHello")
+                raise ClientHelloError("too many pieces of a ClientHello")
             self._apart[offset] = data
             return True
         self._head += data[len(self._head) - offset :]
@@ -72,28 +72,30 @@
         return True
 
     def message(self) -> bytes | None:
-        """The whole first handshake message, or None while it is not there yet. Raises `HelloError` where what
+        """The whole first handshake message, or None while it is not there yet. Raises `ClientHelloError` where what
         is there can't become a ClientHello.
         """
         head = self._head
         if head and head[0] != CLIENT_HELLO:
-            raise HelloError("the first TLS message is no ClientHello")
+            raise ClientHelloError("the first TLS message is no ClientHello")
         if len(head) < HEADER:
             return None
         end = HEADER + int.from_bytes(head[1:HEADER], "big")
         if end > MOST_OCTETS:
-            raise HelloError(f"a ClientHello over {MOST_OCTETS} octets")
+            raise ClientHelloError(f"a ClientHello over {MOST_OCTETS} octets")
         return head[:end] if len(head) >= end else None
 
 
-def read_hello(message: bytes) -> Hello:
-    """What a whole ClientHello asks for. Raises `HelloError` where it can't be read."""
+def parse_client_hello(message: bytes) -> ClientHello:
+    """What a whole ClientHello asks for. Raises `ClientHelloError` where it can't be read."""
     if message[:1] != bytes([CLIENT_HELLO]):
-        raise HelloError("no ClientHello")
+        raise ClientHelloError("no ClientHello")
     try:
         hello = pull_client_hello(Buffer(data=message))
     except (Alert, BufferReadError, ValueError, UnicodeDecodeError) as e:
-        raise HelloError(f"a ClientHello that can't be read: {e}") from None
+        raise ClientHelloError(f"a ClientHello that can't be read: {e}") from None
     name = (hello.server_name or "").rstrip(".").lower()
     encrypted = any(kind == ENCRYPTED_CLIENT_HELLO for kind, _ in hello.other_extensions or [])
-    return Hello(name if _NAME.fullmatch(name) else "", tuple(hello.alpn_protocols or ())[:MOST_ALPN], encrypted)
+    return ClientHello(
+        name if _NAME.fullmatch(name) else "", tuple(hello.alpn_protocols or ())[:MOST_ALPN], encrypted
+    )
--- a/aspensaddle/frontends/quic/directory.py
+++ b/aspensaddle/frontends/quic/connection_id_directory.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from aspensaddle.frontends.quic.ids import UNROUTABLE, IdFormat
+from aspensaddle.frontends.quic.connection_ids import UNROUTABLE, IdFormat
 
 CODEPOINTS = 8
 
@@ -28,7 +28,7 @@
         return self.retire_at is not None and unix >= self.retire_at
 
 
-class Kind(Enum):
+class ConnectionIdKind(Enum):
     """What an id is."""
 
     RUNNER = "runner"  # of a runner that the file names
@@ -40,22 +40,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
-    kind: Kind
+class ConnectionIdInfo:
+    kind: ConnectionIdKind
     uid: str = ""
 
 
-FOREIGN = Reading(Kind.FOREIGN)
-STRANGER = Reading(Kind.STRANGER)
-RETIRED = Reading(Kind.RETIRED)
-NO_SERVER = Reading(Kind.UNROUTABLE)
+FOREIGN = ConnectionIdInfo(ConnectionIdKind.FOREIGN)
+STRANGER = ConnectionIdInfo(ConnectionIdKind.STRANGER)
+RETIRED = ConnectionIdInfo(ConnectionIdKind.RETIRED)
+NO_SERVER = ConnectionIdInfo(ConnectionIdKind.UNROUTABLE)
 
 
-class Directory:
+class ConnectionIdDirectory:
     """Reads ids by the configurations in force."""
 
     def __init__(
-        self, configs: Iterable[IdConfig], unroutable_length: int = 0, before: Directory | None = None
+        self, configs: Iterable[IdConfig], unroutable_length: int = 0, before: ConnectionIdDirectory | None = None
     ) -> None:
         """`unroutable_length`: octets of ids under 0b111 where all runners make them alike; 0 where they don't.
         `before`: the directory that this one replaces, whose runners are remembered as departed.
@@ -83,7 +83,7 @@
         length = self.lengths[after_first_octet[0] >> 5]
         return after_first_octet[:length] if 0 < length <= len(after_first_octet) else None
 
-    def read(self, cid: bytes, unix: float) -> Reading:
+    def read(self, cid: bytes, unix: float) -> ConnectionIdInfo:
         """What a whole id is, at this Unix time."""
         if not cid:
             return FOREIGN
@@ -97,9 +97,9 @@
             return RETIRED
         server_id = config.format.decode(cid)
         if (uid := config.uids.get(server_id)) is not None:
-            return Reading(Kind.RUNNER, uid)
+            return ConnectionIdInfo(ConnectionIdKind.RUNNER, uid)
         if (uid := self._left.get(rotation, {}).get(server_id)) is not None:
-            return Reading(Kind.DEPARTED, uid)
+            return ConnectionIdInfo(ConnectionIdKind.DEPARTED, uid)
         return STRANGER
 
     def routable(self, cid: bytes) -> bool:
--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -8,17 +8,17 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
-from aspensaddle.frontends.quic.directory import Directory
-from aspensaddle.frontends.quic.session import Path, Peer
+from aspensaddle.frontends.quic.connection_id_directory import ConnectionIdDirectory
+from aspensaddle.frontends.quic.session import ClientAddress, Path
 from aspensaddle.frontends.quic.settings import QuicSettings
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
 
-class Wire(Protocol):
+class Transport(Protocol):
     """The way out. What can't be sent is lost, as any datagram may be."""
 
-    def to_client(self, data: bytes, peer: Peer) -> None: ...
+    def to_client(self, data: bytes, peer: ClientAddress) -> None: ...
     def to_runner(self, data: bytes, path: Path) -> None: ...
     def open(self, slot: int) -> bool:
         """Have a socket under this number; False where there is no descriptor for one."""
@@ -27,12 +27,12 @@
 @dataclass(slots=True)
 class Context:
     settings: QuicSettings
-    directory: Directory
+    directory: ConnectionIdDirectory
     driver: Driver
     fleet: EndpointRegistry
     counters: Counters
     log: Log
-    wire: Wire
+    wire: Transport
     unix: Callable[[], float]  # seconds; what balancers have in common
     now: float = 0.0  # seconds of a clock that only goes forward, told before each step
     closing: bool = False
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -1,7 +1,7 @@
 """Where a datagram goes: the front without sockets and time.
 
 A datagram finds its runner by the id it is sent to: first by what is remembered of sessions, then by the server
-id within a routable one, which needs no memory at all. What opens a connection is placed (`placing.py`).
+id within a routable one, which needs no memory at all. What opens a connection is placed (`session_setup.py`).
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
-from aspensaddle.frontends.quic.answers import Answers
-from aspensaddle.frontends.quic.context import Context, Wire
-from aspensaddle.frontends.quic.directory import Directory, Kind
+from aspensaddle.frontends.quic.address_validation import AddressValidationPolicy
+from aspensaddle.frontends.quic.connection_id_directory import ConnectionIdDirectory, ConnectionIdKind
+from aspensaddle.frontends.quic.context import Context, Transport
 from aspensaddle.frontends.quic.flight import Flight
-from aspensaddle.frontends.quic.gate import Gate
+from aspensaddle.frontends.quic.limits import ExpiringMap, RateLimiter
 from aspensaddle.frontends.quic.packets import (
     FIRST_DATAGRAM,
     LEAST_CHOSEN,
     VERSIONS,
-    Malformed,
+    MalformedPacketError,
     Packet,
     long_packets,
     parse_invariants,
 )
-from aspensaddle.frontends.quic.paths import Paths
-from aspensaddle.frontends.quic.placing import Placements
-from aspensaddle.frontends.quic.session import Peer, Runner
-from aspensaddle.frontends.quic.sessions import Sessions
+from aspensaddle.frontends.quic.path_table import PathTable
+from aspensaddle.frontends.quic.responder import Responder
+from aspensaddle.frontends.quic.retry_tokens import TokenVerdict
+from aspensaddle.frontends.quic.session import ClientAddress, ServerAddress
+from aspensaddle.frontends.quic.session_setup import SessionSetup
+from aspensaddle.frontends.quic.session_table import SessionTable
 from aspensaddle.frontends.quic.settings import QuicSettings
-from aspensaddle.frontends.quic.tables import Allowance, Expiring
-from aspensaddle.frontends.quic.tokens import Verdict
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
@@ -47,29 +47,33 @@
         fleet: EndpointRegistry,
         counters: Counters,
         log: Log,
-        wire: Wire,
+        wire: Transport,
         unix: Callable[[], float],
         now: float,
     ) -> None:
-        directory = Directory(settings.ids, settings.unroutable_length)
+        directory = ConnectionIdDirectory(settings.ids, settings.unroutable_length)
         self.ctx = Context(settings, directory, driver, fleet, counters, log, wire, unix, now)
-        self.paths = Paths(self.ctx)
-        self.answers = Answers(self.ctx)
-        self.sessions = Sessions(self.ctx, self.paths, self.answers)
-        self.placements = Placements(self.ctx, self.sessions, self.paths, self.answers)
-        self._orphans: Expiring[list[bytes]] = Expiring(ORPHANS, ORPHANED_FOR)
+        self.paths = PathTable(self.ctx)
+        self.answers = Responder(self.ctx)
+        self.sessions = SessionTable(self.ctx, self.paths, self.answers)
+        self.placements = SessionSetup(self.ctx, self.sessions, self.paths, self.answers)
+        self._orphans: ExpiringMap[list[bytes]] = ExpiringMap(ORPHANS, ORPHANED_FOR)
         self._take_settings()
 
     def _take_settings(self) -> None:
         settings = self.ctx.settings
         self._lengths = self.ctx.directory.lengths
-        self._openings = Allowance(settings.answers_per_s, self.ctx.now)
-        self._gate = None if settings.retry is None else Gate(settings.retry.above_per_s, settings.most_pending)
+        self._openings = RateLimiter(settings.answers_per_s, self.ctx.now)
+        self._gate = (
+            None
+            if settings.retry is None
+            else AddressValidationPolicy(settings.retry.above_per_s, settings.most_pending)
+        )
 
     def configure(self, settings: QuicSettings) -> None:
         """Other settings from now on. What stands goes on; ids that nothing reads any more are forgotten."""
         ctx = self.ctx
-        ctx.directory = Directory(settings.ids, settings.unroutable_length, before=ctx.directory)
+        ctx.directory = ConnectionIdDirectory(settings.ids, settings.unroutable_length, before=ctx.directory)
         ctx.settings = settings
         self.paths.configure()
         self.answers.configure()
@@ -79,10 +83,10 @@
 
     # ------------------------------------------------------------ from clients
 
-    def from_client(self, data: bytes, peer: Peer) -> None:
-        """A datagram of a client's. Raises `Malformed` where it is no QUIC."""
+    def from_client(self, data: bytes, peer: ClientAddress) -> None:
+        """A datagram of a client's. Raises `MalformedPacketError` where it is no QUIC."""
         if len(data) < 2:
-            raise Malformed("too short")
+            raise MalformedPacketError("too short")
         if data[0] & 0x80:
             self._long(data, peer)
             return
@@ -100,7 +104,7 @@
             # Not even a reset: without the whole id no token can be made that the client knows.
             self.ctx.counters.add("quic unroutable")
 
-    def _long(self, data: bytes, peer: Peer) -> None:
+    def _long(self, data: bytes, peer: ClientAddress) -> None:
         ctx, sessions = self.ctx, self.sessions
         seen = parse_invariants(data)
         dcid = seen.dcid
@@ -127,14 +131,14 @@
             self._unknown_long(data, peer, dcid)
         self.placements.settle()
 
-    def _unknown_long(self, data: bytes, peer: Peer, dcid: bytes) -> None:
+    def _unknown_long(self, data: bytes, peer: ClientAddress, dcid: bytes) -> None:
         """A long header with an id that nothing is remembered of."""
         packets = long_packets(data)
         kind = packets[0].type if packets else None
         if kind is QuicPacketType.INITIAL:
             self._initial(data, peer, packets)
         elif kind is QuicPacketType.RETRY:
-            raise Malformed("a Retry from a client")
+            raise MalformedPacketError("a Retry from a client")
         elif kind is QuicPacketType.ZERO_RTT and not self.ctx.directory.routable(dcid):
             # It has overtaken its Initial, or that was lost (RFC 9000, 5.2.2).
             held = self._orphans.get(dcid, self.ctx.now) or []
@@ -145,7 +149,7 @@
         else:
             self._routed(data, peer, dcid)
 
-    def _initial(self, data: bytes, peer: Peer, packets: list[Packet]) -> None:
+    def _initial(self, data: bytes, peer: ClientAddress, packets: list[Packet]) -> None:
         """An Initial to an id that nothing is remembered of: a client opens a connection, or one that another
         balancer has placed goes on here.
         """
@@ -157,14 +161,15 @@
         if packet.token and ctx.settings.retry is not None:
             verdict, proof = ctx.settings.retry.tokens.check(packet.token, peer[0], peer[1], packet.dcid, ctx.unix())
             ctx.counters.add(f"quic tokens {verdict.value}")
-            if verdict is Verdict.VALID and proof is not None:
+            if verdict is TokenVerdict.VALID and proof is not None:
                 proven, original = True, proof.original
-            elif verdict is not Verdict.NONE:
+            elif verdict is not TokenVerdict.NONE:
                 self.sessions.chosen.put(packet.dcid, None, ctx.now)
                 self.answers.invalid_token(packet, peer)
                 return
         runner = (
-            ctx.directory.routable(packet.dcid) and ctx.directory.read(packet.dcid, ctx.unix()).kind is Kind.RUNNER
+            ctx.directory.routable(packet.dcid)
+            and ctx.directory.read(packet.dcid, ctx.unix()).kind is ConnectionIdKind.RUNNER
         )
         if (
             not proven
@@ -195,14 +200,14 @@
                 if session is not None and session.placing is not None:
                     self.placements.take(session, session.placing, early, long_packets(early))
 
-    def _routed(self, data: bytes, peer: Peer, dcid: bytes) -> None:
+    def _routed(self, data: bytes, peer: ClientAddress, dcid: bytes) -> None:
         """A datagram to an id of no known session: it goes to the runner that the id names."""
         ctx, sessions = self.ctx, self.sessions
         reading = ctx.directory.read(dcid, ctx.unix())
-        if reading.kind is not Kind.RUNNER:
+        if reading.kind is not ConnectionIdKind.RUNNER:
             ctx.counters.add("quic unroutable")
             ctx.counters.add(f"quic ids {reading.kind.value}")
-            if reading.kind in (Kind.DEPARTED, Kind.RETIRED):
+            if reading.kind in (ConnectionIdKind.DEPARTED, ConnectionIdKind.RETIRED):
                 self.answers.reset(dcid, len(data), peer)
             return
         server = ctx.fleet.find(reading.uid)
@@ -219,7 +224,7 @@
 
     # ------------------------------------------------------------ from runners
 
-    def from_runner(self, data: bytes, slot: int, runner: Runner) -> None:
+    def from_runner(self, data: bytes, slot: int, runner: ServerAddress) -> None:
         """A datagram that came on a socket from an address of a runner's."""
         path = self.paths.at(slot, runner)
         if path is None:
@@ -232,7 +237,7 @@
             self.placements.reply(session, session.placing, path, data)
             self.placements.settle()
 
-    def unreachable(self, slot: int, runner: Runner) -> None:
+    def unreachable(self, slot: int, runner: ServerAddress) -> None:
         """No process listens at an address to which something was sent from this socket."""
         path = self.paths.at(slot, runner)
         if path is not None:
--- a/aspensaddle/frontends/quic/flight.py
+++ b/aspensaddle/frontends/quic/flight.py
@@ -10,7 +10,12 @@
 
 from aioquic.quic.packet import QuicPacketType
 
-from aspensaddle.frontends.quic.hello import Hello, HelloError, Reassembly, read_hello
+from aspensaddle.frontends.quic.client_hello import (
+    ClientHello,
+    ClientHelloError,
+    CryptoStreamReassembler,
+    parse_client_hello,
+)
 from aspensaddle.frontends.quic.initial import InitialFrames, InitialKeys
 from aspensaddle.frontends.quic.packets import Packet
 
@@ -18,7 +23,7 @@
 MOST_EARLY, MOST_EARLY_OCTETS = 10, 15000  # of 0-RTT
 
 
-class Taken(Enum):
+class AddResult(Enum):
     """What became of a client's datagram."""
 
     NEW = "new"  # kept, and for the runner that is being tried
@@ -33,10 +38,10 @@
 
     def __init__(self, dcid: bytes) -> None:
         self.keys = InitialKeys(dcid)
-        self.hello: Hello | None = None  # once it is whole
+        self.hello: ClientHello | None = None  # once it is whole
         self._initials: list[bytes] = []
         self._early: list[bytes] = []
-        self._reassembly = Reassembly()
+        self._reassembly = CryptoStreamReassembler()
         self._seen: set[bytes] = set()
 
     @property
@@ -55,13 +60,13 @@
         frames = self.keys.open(packet, from_client=True)
         return frames if frames is not None and frames.crypto else None
 
-    def take(self, data: bytes, packets: list[Packet], opened: InitialFrames | None = None) -> Taken:
+    def take(self, data: bytes, packets: list[Packet], opened: InitialFrames | None = None) -> AddResult:
         """Take a datagram to this id. `opened`: the frames of its first packet, where they are known already.
 
-        Raises `HelloError` where the client's TLS is no ClientHello or over the bounds.
+        Raises `ClientHelloError` where the client's TLS is no ClientHello or over the bounds.
         """
         if data in self._seen:  # the network's own copy, not the client's repetition
-            return Taken.DROPPED
+            return AddResult.DROPPED
         new = sound = early = False
         for i, packet in enumerate(packets):
             if packet.type is QuicPacketType.ZERO_RTT:
@@ -74,23 +79,23 @@
                 for offset, piece in frames.crypto:
                     new |= self._reassembly.add(offset, piece)
         if not sound and not early:
-            return Taken.DROPPED
+            return AddResult.DROPPED
         if new:
             taken = self._keep(self._initials, data, MOST_INITIALS, MOST_INITIAL_OCTETS)
             self._read()
             return taken
-        return self._keep(self._early, data, MOST_EARLY, MOST_EARLY_OCTETS) if early else Taken.REPEATED
+        return self._keep(self._early, data, MOST_EARLY, MOST_EARLY_OCTETS) if early else AddResult.REPEATED
 
-    def _keep(self, kept: list[bytes], data: bytes, most: int, octets: int) -> Taken:
+    def _keep(self, kept: list[bytes], data: bytes, most: int, octets: int) -> AddResult:
         if len(kept) >= most or sum(map(len, kept)) + len(data) > octets:
-            return Taken.DROPPED
+            return AddResult.DROPPED
         kept.append(data)
         self._seen.add(data)
-        return Taken.NEW
+        return AddResult.NEW
 
     def _read(self) -> None:
         if self.hello is None and (message := self._reassembly.message()) is not None:
             try:
-                self.hello = read_hello(message)
-            except HelloError:
-                self.hello = Hello()  # the runner says what is wrong with it; the rules see no name
+                self.hello = parse_client_hello(message)
+            except ClientHelloError:
+                self.hello = ClientHello()  # the runner says what is wrong with it; the rules see no name
--- a/aspensaddle/frontends/quic/front.py
+++ b/aspensaddle/frontends/quic/frontend.py
@@ -9,10 +9,10 @@
 from aspensaddle.core.driver import Driver
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.frontends.quic.engine import Engine
-from aspensaddle.frontends.quic.packets import Malformed
-from aspensaddle.frontends.quic.session import Peer, Runner
+from aspensaddle.frontends.quic.packets import MalformedPacketError
+from aspensaddle.frontends.quic.session import ClientAddress, ServerAddress
 from aspensaddle.frontends.quic.settings import QuicSettings
-from aspensaddle.frontends.quic.sockets import Sockets
+from aspensaddle.frontends.quic.sockets import UdpSockets
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
@@ -21,7 +21,7 @@
 FIXED = ("listen",)  # what only a restart can change
 
 
-class Front:
+class QuicFrontend:
     def __init__(
         self, settings: QuicSettings, driver: Driver, fleet: EndpointRegistry, counters: Counters, log: Log
     ) -> None:
@@ -31,7 +31,7 @@
 
     def bind(self) -> None:
         """Take the address; raises `OSError` where it can't be had."""
-        self.sockets = Sockets(self.settings.listen, self.counters)
+        self.sockets = UdpSockets(self.settings.listen, self.counters)
         self.engine = Engine(
             self.settings,
             self._driver,
@@ -83,16 +83,16 @@
                 break
         self._set_timer()
 
-    def _from_client(self, data: bytes, peer: Peer) -> None:
+    def _from_client(self, data: bytes, peer: ClientAddress) -> None:
         self.counters["quic datagrams in"] += 1
         try:
             self.engine.from_client(data, peer)
-        except Malformed:
+        except MalformedPacketError:
             self.counters.add("quic malformed")
         except Exception as e:  # a fault costs one datagram, not the front
             self._fault(e)
 
-    def _from_runner(self, data: bytes, slot: int, runner: Runner) -> None:
+    def _from_runner(self, data: bytes, slot: int, runner: ServerAddress) -> None:
         self.counters["quic datagrams back"] += 1
         try:
             self.engine.from_runner(data, slot, runner)
--- a/aspensaddle/frontends/quic/tables.py
+++ b/aspensaddle/frontends/quic/limits.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Expiring(Generic[T]):
+class ExpiringMap(Generic[T]):
     """A table with a bound on its size and on the age of an entry; the oldest goes first. O(1) each."""
 
     def __init__(self, most: int, lasts: float) -> None:
@@ -40,7 +40,7 @@
         return len(self._entries)
 
 
-class Allowance:
+class RateLimiter:
     """So many a second, and a second's worth at once."""
 
     def __init__(self, rate: float, now: float) -> None:
--- a/aspensaddle/frontends/quic/packets.py
+++ b/aspensaddle/frontends/quic/packets.py
@@ -22,12 +22,12 @@
 MOST_PACKETS = 8  # in a datagram
 
 
-class Malformed(Exception):
+class MalformedPacketError(Exception):
     """A datagram that is no QUIC."""
 
 
 @dataclass(slots=True)
-class Invariants:
+class InvariantHeader:
     """What RFC 8999 says of a datagram's first packet, for every version there will be."""
 
     long: bool
@@ -36,11 +36,11 @@
     scid: bytes
 
 
-def parse_invariants(data: bytes) -> Invariants:
+def parse_invariants(data: bytes) -> InvariantHeader:
     if not data:
-        raise Malformed("empty")
+        raise MalformedPacketError("empty")
     if not data[0] & 0x80:
-        return Invariants(False, 0, data[1:], b"")
+        return InvariantHeader(False, 0, data[1:], b"")
     buf = Buffer(data=data)
     try:
         buf.pull_uint8()
@@ -48,8 +48,8 @@
         dcid = buf.pull_bytes(buf.pull_uint8())
         scid = buf.pull_bytes(buf.pull_uint8())
     except BufferReadError:
-        raise Malformed("cut short") from None
-    return Invariants(True, version, dcid, scid)
+        raise MalformedPacketError("cut short") from None
+    return InvariantHeader(True, version, dcid, scid)
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
     return packets
 
 
-def version_negotiation(seen: Invariants) -> bytes:
+def version_negotiation(seen: InvariantHeader) -> bytes:
     return encode_quic_version_negotiation(
         source_cid=seen.dcid, destination_cid=seen.scid, supported_versions=[int(v) for v in VERSIONS]
     )
@@ -124,7 +124,7 @@
     """
     try:
         seen = parse_invariants(data)
-    except Malformed:
+    except MalformedPacketError:
         return False
     offered = data[7 + len(seen.dcid) + len(seen.scid) :]
     versions = {int.from_bytes(offered[i : i + 4], "big") for i in range(0, len(offered) - 3, 4)}
--- a/aspensaddle/frontends/quic/paths.py
+++ b/aspensaddle/frontends/quic/path_table.py
@@ -5,8 +5,8 @@
 from collections import OrderedDict
 
 from aspensaddle.frontends.quic.context import Context
-from aspensaddle.frontends.quic.session import Path, Peer, Runner, Session
-from aspensaddle.frontends.quic.slots import Slots
+from aspensaddle.frontends.quic.session import ClientAddress, Path, ServerAddress, Session
+from aspensaddle.frontends.quic.socket_slots import SocketSlots
 
 REST = 3.0  # seconds before an address towards a runner is another client's
 EVICT_IDLE = 1.0  # a path that passed something so lately is not given up for another
@@ -14,32 +14,32 @@
 MOST_OF_SESSION = 4  # paths that one session may have
 
 
-class Paths:
+class PathTable:
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.count = 0
-        self._slots: Slots[Runner] = Slots(ctx.settings.most_sockets, REST)
+        self._slots: SocketSlots[ServerAddress] = SocketSlots(ctx.settings.most_sockets, REST)
         # By the runner's address and the socket's number, those opened or looked at longest ago first.
-        self._open: dict[Runner, OrderedDict[int, Path]] = {}
-        self._by_peer: dict[tuple[Peer, int], Path] = {}  # and by the client's address and the server
+        self._open: dict[ServerAddress, OrderedDict[int, Path]] = {}
+        self._by_peer: dict[tuple[ClientAddress, int], Path] = {}  # and by the client's address and the server
 
     def configure(self) -> None:
         self._slots.resize(self.ctx.settings.most_sockets)
 
-    def at(self, slot: int, runner: Runner) -> Path | None:
+    def at(self, slot: int, runner: ServerAddress) -> Path | None:
         """The path on which a runner's datagram came."""
         table = self._open.get(runner)
         return None if table is None else table.get(slot)
 
-    def of(self, peer: Peer, server: int) -> Path | None:
+    def of(self, peer: ClientAddress, server: int) -> Path | None:
         """The path last opened between a client's address and a runner."""
         return self._by_peer.get((peer, server))
 
-    def address(self, server: int) -> Runner | None:
+    def address(self, server: int) -> ServerAddress | None:
         known = self.ctx.fleet.addresses.get(server)
         return None if known is None else (known[0], self.ctx.settings.runner_port or known[1])
 
-    def open(self, session: Session, server: int, peer: Peer) -> Path | None:
+    def open(self, session: Session, server: int, peer: ClientAddress) -> Path | None:
         """A path to a runner, or None where the runner has left or none is to be had."""
         runner = self.address(server)
         if runner is None:
@@ -54,7 +54,7 @@
         self.count += 1
         return path
 
-    def _take(self, runner: Runner) -> int | None:
+    def _take(self, runner: ServerAddress) -> int | None:
         slot = self._slots.take(runner, self.ctx.now)
         if slot is None and (old := self._idlest(runner)) is not None:
             # Guards against running out of descriptors: its session goes on, its next datagram opens a path.
@@ -67,7 +67,7 @@
             return None
         return slot
 
-    def _idlest(self, runner: Runner) -> Path | None:
+    def _idlest(self, runner: ServerAddress) -> Path | None:
         """Of some paths opened long ago the one idle for longest, if that is long; the others go to the back."""
         table = self._open.get(runner, OrderedDict())
         found: Path | None = None
--- a/aspensaddle/frontends/quic/answers.py
+++ b/aspensaddle/frontends/quic/responder.py
@@ -9,23 +9,23 @@
 
 from aioquic.quic.packet import encode_quic_retry
 
+from aspensaddle.frontends.quic.connection_ids import UNROUTABLE, reset_token
 from aspensaddle.frontends.quic.context import Context
-from aspensaddle.frontends.quic.ids import UNROUTABLE, reset_token
 from aspensaddle.frontends.quic.initial import CONNECTION_REFUSED, INVALID_TOKEN, InitialKeys
+from aspensaddle.frontends.quic.limits import RateLimiter
 from aspensaddle.frontends.quic.packets import (
     FIRST_DATAGRAM,
-    Invariants,
+    InvariantHeader,
     Packet,
     stateless_reset,
     version_negotiation,
 )
-from aspensaddle.frontends.quic.session import Peer
-from aspensaddle.frontends.quic.tables import Allowance
+from aspensaddle.frontends.quic.session import ClientAddress
 
 RETRY_ID = 16  # octets of the id that a Retry gives
 
 
-class Answers:
+class Responder:
     def __init__(self, ctx: Context) -> None:
         self.ctx = ctx
         self.configure()
@@ -33,17 +33,17 @@
     def configure(self) -> None:
         """Take the rates in the settings."""
         settings, now = self.ctx.settings, self.ctx.now
-        self._answers = Allowance(settings.answers_per_s, now)
-        self._retries = Allowance(settings.retry.answers_per_s if settings.retry is not None else 1.0, now)
+        self._answers = RateLimiter(settings.answers_per_s, now)
+        self._retries = RateLimiter(settings.retry.answers_per_s if settings.retry is not None else 1.0, now)
 
-    def negotiate(self, data: bytes, peer: Peer, seen: Invariants) -> None:
+    def negotiate(self, data: bytes, peer: ClientAddress, seen: InvariantHeader) -> None:
         # A negotiation is never answered, and a small datagram could be made to draw a larger answer.
         if seen.version == 0 or len(data) < FIRST_DATAGRAM or not self._answers.take(self.ctx.now):
             self.ctx.counters.add("quic not negotiated")
             return
         self._say("quic version negotiations", version_negotiation(seen), peer)
 
-    def retry(self, packet: Packet, peer: Peer) -> None:
+    def retry(self, packet: Packet, peer: ClientAddress) -> None:
         """Ask a client to prove its address. Nothing is remembered of it: the token says all."""
         assert self.ctx.settings.retry is not None
         if not self._retries.take(self.ctx.now):
@@ -58,19 +58,19 @@
             return
         self._say("quic retries", encode_quic_retry(packet.version, given, packet.scid, packet.dcid, token), peer)
 
-    def invalid_token(self, packet: Packet, peer: Peer) -> None:
+    def invalid_token(self, packet: Packet, peer: ClientAddress) -> None:
         """RFC 9000, 8.1.2: a token that was a Retry's once and is worth nothing now. The client begins anew."""
         keys = InitialKeys(packet.dcid)
         self.close(keys, packet.version, packet.scid, peer, INVALID_TOKEN, b"", "quic invalid tokens")
 
-    def refuse(self, keys: InitialKeys, version: int, scid: bytes, peer: Peer, wait: float) -> None:
+    def refuse(self, keys: InitialKeys, version: int, scid: bytes, peer: ClientAddress, wait: float) -> None:
         """Trying again is harmless; `wait` in seconds tells when."""
         ms = math.ceil(wait * 1000)
         reason = b"BUSY %d" % ms if ms > 0 else b"BUSY"
         self.close(keys, version, scid, peer, CONNECTION_REFUSED, reason, "quic refused")
 
     def close(
-        self, keys: InitialKeys, version: int, scid: bytes, peer: Peer, code: int, reason: bytes, count: str
+        self, keys: InitialKeys, version: int, scid: bytes, peer: ClientAddress, code: int, reason: bytes, count: str
     ) -> None:
         """End a connection that has not begun, in one Initial."""
         if not self._answers.take(self.ctx.now):
@@ -78,7 +78,7 @@
             return
         self._say(count, keys.close(version, scid, code, reason), peer)
 
-    def reset(self, dcid: bytes, trigger: int, peer: Peer) -> None:
+    def reset(self, dcid: bytes, trigger: int, peer: ClientAddress) -> None:
         """A stateless reset for an id, in answer to a datagram of `trigger` octets (RFC 9000, 10.3)."""
         reset = stateless_reset(reset_token(self.ctx.settings.reset_key, dcid), trigger)
         if reset is None or not self._answers.take(self.ctx.now):
@@ -86,6 +86,6 @@
             return
         self._say("quic resets", reset, peer)
 
-    def _say(self, count: str, data: bytes, peer: Peer) -> None:
+    def _say(self, count: str, data: bytes, peer: ClientAddress) -> None:
         self.ctx.counters.add(count)
         self.ctx.wire.to_client(data, peer)
--- a/aspensaddle/frontends/quic/tokens.py
+++ b/aspensaddle/frontends/quic/retry_tokens.py
@@ -35,7 +35,7 @@
 AHEAD = 5.0  # seconds that the clocks of two balancers may differ
 
 
-class Verdict(Enum):
+class TokenVerdict(Enum):
     """What a token is worth."""
 
     VALID = "valid"
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
+class TokenContents:
     """What a genuine token says."""
 
     original: bytes  # the id that the client made up first
@@ -74,7 +74,7 @@
             raise ValueError("until must be later than since")
 
 
-class Tokens:
+class RetryTokens:
     """Seals and checks tokens with the keys in force. The key that came into force last seals; each opens until
     its end, so that a key can be rolled without a client noticing.
     """
@@ -103,7 +103,7 @@
         )
         return head + self._keys[key.sequence][1].encrypt(head[1:], body, head)
 
-    def read(self, token: bytes, unix: float) -> Proof | None:
+    def read(self, token: bytes, unix: float) -> TokenContents | None:
         """What a genuine token says; None where none of the keys in force has sealed it. A runner behind the front
         asks this: the ids are for its transport parameters (RFC 9000, 7.3), the address was checked before it.
         """
@@ -121,20 +121,22 @@
         if len(body) != HEAD.size + first + second + TIME.size:
             return None
         ids, (at,) = body[HEAD.size : -TIME.size], TIME.unpack(body[-TIME.size :])
-        return Proof(ids[:first], ids[first:], at / 1000, port, address)
+        return TokenContents(ids[:first], ids[first:], at / 1000, port, address)
 
-    def check(self, token: bytes, host: str, port: int, dcid: bytes, unix: float) -> tuple[Verdict, Proof | None]:
+    def check(
+        self, token: bytes, host: str, port: int, dcid: bytes, unix: float
+    ) -> tuple[TokenVerdict, TokenContents | None]:
         """What a token in an Initial to `dcid` from an address is worth at a Unix time."""
         proof = self.read(token, unix)
         if proof is None:
-            return Verdict.NONE, None
+            return TokenVerdict.NONE, None
         if (proof.port, proof.address) != (port, _packed(host)):
-            return Verdict.ELSEWHERE, proof
+            return TokenVerdict.ELSEWHERE, proof
         if dcid != proof.retry_id:
-            return Verdict.MISPLACED, proof
+            return TokenVerdict.MISPLACED, proof
         if not proof.at - AHEAD <= unix <= proof.at + self.lifetime:
-            return Verdict.EXPIRED, proof
-        return Verdict.VALID, proof
+            return TokenVerdict.EXPIRED, proof
+        return TokenVerdict.VALID, proof
 
 
 def _packed(host: str) -> bytes:
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -1,6 +1,6 @@
 """A client's session and the paths that it has. Values only: who moves them stands in the modules beside.
 
-A session is kept small: what only its placement needs is in `Placing`, which goes once it stands.
+A session is kept small: what only its placement needs is in `SetupState`, which goes once it stands.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from aspensaddle.core.events import Outcome
 from aspensaddle.frontends.quic.flight import Flight
 
-Peer = tuple[str, int]  # an address of a client, as the socket tells it
-Runner = tuple[str, int]  # an address of a runner
+ClientAddress = tuple[str, int]  # an address of a client, as the socket tells it
+ServerAddress = tuple[str, int]  # an address of a runner
 
 AMPLIFICATION = 3  # octets sent for each that came, before an address is proven (RFC 9000, 8.1)
 CHALLENGE = 1200  # octets of a datagram that probes a path, and of its reply (RFC 9000, 8.2.1)
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class AmplificationLimit:
     """How much may be sent to an address that is not proven (RFC 9000, 8.1).
 
     In a handshake the proof is the id that the runner gave, which comes back from nowhere else. The front can't
@@ -62,17 +62,17 @@
     """
 
     session: Session
-    peer: Peer
+    peer: ClientAddress
     server: int
-    runner: Runner  # its address
+    runner: ServerAddress  # its address
     slot: int
     used: float  # when something last passed
     dcid: bytes = b""  # the latest routable id on it
     size: int = 0  # of the client's latest datagram
-    budget: Budget | None = field(default_factory=Budget)  # None once its address is proven
+    budget: AmplificationLimit | None = field(default_factory=AmplificationLimit)  # None once its address is proven
 
 
-class Stage(Enum):
+class SetupStage(Enum):
     """Where a session's placement is."""
 
     HELLO = "hello"  # its ClientHello is not whole
@@ -81,7 +81,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Placing:
+class SetupState:
     """What a session has until it stands."""
 
     flight: Flight
@@ -90,9 +90,9 @@
     scid: bytes
     started: float
     original: bytes  # the id that the client made up first
-    peer: Peer
-    budget: Budget | None = None  # None where the address is proven, by a token
-    stage: Stage = Stage.HELLO
+    peer: ClientAddress
+    budget: AmplificationLimit | None = None  # None where the address is proven, by a token
+    stage: SetupStage = SetupStage.HELLO
     cls: int = 0
     path: Path | None = None  # of the attempt that is out
     bound: bool = False  # a runner has sent a Retry or a Version Negotiation: it is that runner's now
@@ -108,7 +108,7 @@
     id: str
     decisions: list[tuple[Session, RequestAction]]  # where what the module decides is noted down
     server: int = -1  # once it stands
-    placing: Placing | None = None
+    placing: SetupState | None = None
     path: Path | None = None  # the one last used by the client
     others: list[Path] | None = None  # those before, oldest first
     ids: tuple[bytes, ...] = ()  # the latest routable ones
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class SessionEnd:
     """How a session that stood has ended."""
 
     outcome: Outcome
--- a/aspensaddle/frontends/quic/rules.py
+++ b/aspensaddle/frontends/quic/session_rules.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from aspensaddle.frontends.quic.hello import Hello
+from aspensaddle.frontends.quic.client_hello import ClientHello
 from aspensaddle.support.json_fields import DecodeError, Message, array, integer, text
 
 KEYS = {"sni", "alpn", "class", "group_label", "group_token", "group_from"}
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class SessionRule:
     """One rule: what it asks for, and what follows."""
 
     names: tuple[str, ...] = ()  # exact, or `*.` and a suffix for any number of labels before it
@@ -31,12 +31,12 @@
     group_token: re.Pattern[str] | None = None  # its one bracket is the group
     from_alpn: bool = False  # the token is looked for in the protocols, not in the name
 
-    def fits(self, hello: Hello) -> bool:
+    def fits(self, hello: ClientHello) -> bool:
         if self.names and not any(_named(hello.name, n) for n in self.names):
             return False
         return not self.alpn or any(p in self.alpn for p in hello.alpn)
 
-    def group(self, hello: Hello) -> str | None:
+    def group(self, hello: ClientHello) -> str | None:
         """The group's label or token; None where there is none."""
         if self.group_label is not None:
             labels = hello.name.split(".") if hello.name else []
@@ -50,16 +50,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class SessionRules:
     default: int  # the class's number in the settings
-    rules: tuple[Rule, ...] = ()
+    rules: tuple[SessionRule, ...] = ()
 
     @property
     def ask(self) -> bool:
         """Whether the ClientHello has to be whole before a session can be placed."""
         return bool(self.rules)
 
-    def choose(self, hello: Hello) -> tuple[int, str | None]:
+    def choose(self, hello: ClientHello) -> tuple[int, str | None]:
         """Class and group of a session."""
         if not hello.encrypted:
             for rule in self.rules:
@@ -72,7 +72,7 @@
     return name.endswith(wanted[1:]) and len(name) > len(wanted) - 1 if wanted.startswith("*") else name == wanted
 
 
-def parse_rules(m: Message, classes: Mapping[str, int], default: int) -> Rules:
+def parse_rules(m: Message, classes: Mapping[str, int], default: int) -> SessionRules:
     """The `[[rules]]` of the operator's file. A `DecodeError` names the field."""
     values = array(m, "rules", [])
     if len(values) > MOST_RULES:
@@ -83,10 +83,10 @@
             rules.append(_parse_rule(value, classes))
         except DecodeError as e:
             raise DecodeError(f"rules[{i}].{e}") from None
-    return Rules(default, tuple(rules))
+    return SessionRules(default, tuple(rules))
 
 
-def _parse_rule(m: object, classes: Mapping[str, int]) -> Rule:
+def _parse_rule(m: object, classes: Mapping[str, int]) -> SessionRule:
     if type(m) is not dict:
         raise DecodeError(f"sni: a rule must be a table, not {m!r:.60}")
     if unknown := sorted(set(m) - KEYS):
@@ -111,7 +111,7 @@
         raise DecodeError("group_from must be sni or, with a group_token, alpn")
     if cls is None and label is None and token is None:
         raise DecodeError("class: a rule needs a class, a group_label or a group_token")
-    return Rule(names, _texts(m, "alpn"), cls, label, token, source == "alpn")
+    return SessionRule(names, _texts(m, "alpn"), cls, label, token, source == "alpn")
 
 
 def _texts(m: Message, name: str) -> tuple[str, ...]:
--- a/aspensaddle/frontends/quic/placing.py
+++ b/aspensaddle/frontends/quic/session_setup.py
@@ -10,15 +10,22 @@
 
 from aspensaddle.core.actions import CancelAttempt, Fail, Migrate, Reject, RequestAction, StartAttempt
 from aspensaddle.core.events import Outcome, Request
-from aspensaddle.frontends.quic.answers import Answers
+from aspensaddle.frontends.quic.client_hello import ClientHello, ClientHelloError
 from aspensaddle.frontends.quic.context import Context
-from aspensaddle.frontends.quic.flight import Flight, Taken
-from aspensaddle.frontends.quic.hello import Hello, HelloError
+from aspensaddle.frontends.quic.flight import AddResult, Flight
 from aspensaddle.frontends.quic.initial import CONNECTION_REFUSED, INTERNAL_ERROR, InitialFrames
 from aspensaddle.frontends.quic.packets import Packet, long_packets, negotiated_away
-from aspensaddle.frontends.quic.paths import Paths
-from aspensaddle.frontends.quic.session import Budget, Path, Peer, Placing, Session, Stage
-from aspensaddle.frontends.quic.sessions import UNREACHED, Sessions
+from aspensaddle.frontends.quic.path_table import PathTable
+from aspensaddle.frontends.quic.responder import Responder
+from aspensaddle.frontends.quic.session import (
+    AmplificationLimit,
+    ClientAddress,
+    Path,
+    Session,
+    SetupStage,
+    SetupState,
+)
+from aspensaddle.frontends.quic.session_table import UNREACHED, SessionTable
 from aspensaddle.support.hashing import stable_hash
 
 ANSWER_MARGIN = 0.03  # of the client's wait, for the answer's way back
@@ -27,8 +34,8 @@
 CRYPTO_BUFFER_EXCEEDED = 0x0D
 
 
-class Placements:
-    def __init__(self, ctx: Context, sessions: Sessions, paths: Paths, answers: Answers) -> None:
+class SessionSetup:
+    def __init__(self, ctx: Context, sessions: SessionTable, paths: PathTable, answers: Responder) -> None:
         self.ctx, self.sessions, self.paths, self.answers = ctx, sessions, paths, answers
         self.pending = 0  # sessions that do not stand yet
         self._timers: list[tuple[float, int, Session]] = []
@@ -39,7 +46,7 @@
     def begin(
         self,
         data: bytes,
-        peer: Peer,
+        peer: ClientAddress,
         packets: list[Packet],
         flight: Flight,
         opened: InitialFrames,
@@ -53,7 +60,7 @@
             self.answers.refuse(flight.keys, packet.version, packet.scid, peer, CLOSING_WAIT)
             return None
         session = self.sessions.new()
-        placing = session.placing = Placing(
+        placing = session.placing = SetupState(
             flight,
             packet.version,
             packet.dcid,
@@ -61,7 +68,7 @@
             self.ctx.now,
             original,
             peer,
-            None if proven else Budget(proof=b""),
+            None if proven else AmplificationLimit(proof=b""),
         )
         self.pending += 1
         self.sessions.chosen.put(packet.dcid, session, self.ctx.now)
@@ -75,7 +82,7 @@
     def take(
         self,
         session: Session,
-        placing: Placing,
+        placing: SetupState,
         data: bytes,
         packets: list[Packet],
         opened: InitialFrames | None = None,
@@ -85,27 +92,27 @@
             placing.budget.got(len(data), b"")
         try:
             taken = placing.flight.take(data, packets, opened)
-        except HelloError as e:
+        except ClientHelloError as e:
             self.ctx.counters.add("quic bad hellos")
             self.ctx.log.rate_limited_event("quic bad hello", why=str(e))
             self._close(session, placing, CRYPTO_BUFFER_EXCEEDED, b"", "quic failed")
             return
-        if taken is Taken.DROPPED:
+        if taken is AddResult.DROPPED:
             self.ctx.counters.add("quic datagrams dropped")
-        elif placing.stage is Stage.TRYING and placing.path is not None:
+        elif placing.stage is SetupStage.TRYING and placing.path is not None:
             self.ctx.wire.to_runner(data, placing.path)
-        elif placing.stage is Stage.HELLO and (placing.flight.hello or not self.ctx.settings.rules.ask):
+        elif placing.stage is SetupStage.HELLO and (placing.flight.hello or not self.ctx.settings.rules.ask):
             self._ask(session, placing)
 
     # ------------------------------------------------------------ what the module says
 
-    def _ask(self, session: Session, placing: Placing) -> None:
-        placing.stage = Stage.ASKED
+    def _ask(self, session: Session, placing: SetupState) -> None:
+        placing.stage = SetupStage.ASKED
         if self.ctx.closing:
             self._refuse(session, placing, CLOSING_WAIT)
             return
         settings = self.ctx.driver.settings
-        placing.cls, group = self.ctx.settings.rules.choose(placing.flight.hello or Hello())
+        placing.cls, group = self.ctx.settings.rules.choose(placing.flight.hello or ClientHello())
         wait = settings.classes[placing.cls].deadline - ANSWER_MARGIN - (self.ctx.now - placing.started)
         placing.timer = 0  # the module's answer comes in time
         self.ctx.driver.submit(
@@ -145,7 +152,7 @@
                 else:
                     session.moving = True
             case CancelAttempt():
-                if placing is not None and placing.stage is Stage.TRYING:
+                if placing is not None and placing.stage is SetupStage.TRYING:
                     self._failed(session, placing, Outcome.CANCELLED)
             case StartAttempt() if placing is not None:
                 self._try(session, placing, action)
@@ -157,12 +164,12 @@
 
     # ------------------------------------------------------------ one attempt
 
-    def _try(self, session: Session, placing: Placing, send: StartAttempt) -> None:
+    def _try(self, session: Session, placing: SetupState, send: StartAttempt) -> None:
         """Offer what the client has sent to a runner."""
         ctx = self.ctx
         ctx.counters.add("quic attempts")
         placing.attempts += 1
-        placing.stage = Stage.TRYING
+        placing.stage = SetupStage.TRYING
         fit = ctx.fleet.uid(send.server) in ctx.directory.uids  # else not a runner that speaks QUIC
         placing.path = self.paths.open(session, send.server, placing.peer) if fit else None
         if placing.path is None or not ctx.driver.may_start_attempt(session.id):
@@ -174,10 +181,10 @@
         reply_within = ctx.settings.reply_within_s or ctx.driver.settings.limits.connect_timeout
         self._wait(session, placing, min(send.timeout, reply_within))
 
-    def _failed(self, session: Session, placing: Placing, outcome: Outcome) -> None:
+    def _failed(self, session: Session, placing: SetupState, outcome: Outcome) -> None:
         """The attempt is over: late packets of its runner reach nobody. The module says what is next."""
         self.ctx.counters.add(f"quic attempts {outcome.label}")
-        placing.timer, placing.stage = 0, Stage.ASKED
+        placing.timer, placing.stage = 0, SetupStage.ASKED
         if placing.path is not None:
             self.paths.close(placing.path)
             placing.path = None
@@ -187,7 +194,7 @@
         if bound:  # its token is worth nothing at another runner
             self._close(session, placing, INTERNAL_ERROR, b"ERR", "quic failed")
 
-    def reply(self, session: Session, placing: Placing, path: Path, data: bytes) -> None:
+    def reply(self, session: Session, placing: SetupState, path: Path, data: bytes) -> None:
         """A runner's datagram in an attempt. Only what opens under the keys of the client's own Initial counts."""
         if placing.path is not path:
             return
@@ -211,7 +218,7 @@
                 self._stands(session, placing, path, packet.scid)
                 return
 
-    def _redirected(self, session: Session, placing: Placing, path: Path, data: bytes, dcid: bytes) -> None:
+    def _redirected(self, session: Session, placing: SetupState, path: Path, data: bytes, dcid: bytes) -> None:
         """A Retry or a Version Negotiation: the client comes again, under the id in the Retry or with another
         version, and has other keys. It is the same attempt, at the same runner.
         """
@@ -224,7 +231,7 @@
         self.sessions.chosen.put(dcid, session, self.ctx.now)
         self._send(path, data)
 
-    def _stands(self, session: Session, placing: Placing, path: Path, scid: bytes) -> None:
+    def _stands(self, session: Session, placing: SetupState, path: Path, scid: bytes) -> None:
         """The runner has taken the session."""
         ctx = self.ctx
         ctx.counters.add("quic attempts ok")
@@ -269,7 +276,7 @@
 
     # ------------------------------------------------------------ time
 
-    def _wait(self, session: Session, placing: Placing, within: float) -> None:
+    def _wait(self, session: Session, placing: SetupState, within: float) -> None:
         self._count += 1
         placing.timer = self._count
         heappush(self._timers, (self.ctx.now + within, self._count, session))
@@ -285,7 +292,7 @@
             session = heappop(self._timers)[2]
             placing = session.placing
             assert placing is not None
-            if placing.stage is Stage.TRYING:
+            if placing.stage is SetupStage.TRYING:
                 self._failed(session, placing, Outcome.TIMED_OUT)
             else:  # its ClientHello has not become whole; nothing has run
                 self.ctx.counters.add("quic incomplete hellos")
@@ -298,11 +305,11 @@
 
     # ------------------------------------------------------------ the final answer
 
-    def _refuse(self, session: Session, placing: Placing, wait: float) -> None:
+    def _refuse(self, session: Session, placing: SetupState, wait: float) -> None:
         self.answers.refuse(placing.flight.keys, placing.version, placing.scid, placing.peer, wait)
         self._over(session, placing, placed=False)
 
-    def _close(self, session: Session, placing: Placing, code: int, reason: bytes, count: str) -> None:
+    def _close(self, session: Session, placing: SetupState, code: int, reason: bytes, count: str) -> None:
         self.answers.close(placing.flight.keys, placing.version, placing.scid, placing.peer, code, reason, count)
         self._over(session, placing, placed=False)
 
@@ -313,7 +320,7 @@
         elif not session.ended:
             self.sessions.drop(session)
 
-    def _over(self, session: Session, placing: Placing, placed: bool) -> None:
+    def _over(self, session: Session, placing: SetupState, placed: bool) -> None:
         self.pending -= 1
         placing.timer = 0
         self.ctx.log.event(
--- a/aspensaddle/frontends/quic/sessions.py
+++ b/aspensaddle/frontends/quic/session_table.py
@@ -11,11 +11,11 @@
 
 from aspensaddle.core.actions import RequestAction
 from aspensaddle.core.events import Outcome, Request
-from aspensaddle.frontends.quic.answers import Answers
 from aspensaddle.frontends.quic.context import Context
-from aspensaddle.frontends.quic.paths import MOST_OF_SESSION, Paths
-from aspensaddle.frontends.quic.session import End, Path, Peer, Session
-from aspensaddle.frontends.quic.tables import Allowance, Expiring
+from aspensaddle.frontends.quic.limits import ExpiringMap, RateLimiter
+from aspensaddle.frontends.quic.path_table import MOST_OF_SESSION, PathTable
+from aspensaddle.frontends.quic.responder import Responder
+from aspensaddle.frontends.quic.session import ClientAddress, Path, Session, SessionEnd
 
 IDS_KEPT = 8  # latest ids of a session
 MOVED_FOR = 30.0  # how long ids of a session that was reset are answered with a reset
@@ -25,24 +25,24 @@
 SWEEP_PARTS = 5  # a sweep looks at a part of the sessions, so that none holds datagrams up for long
 LEAST_SWEPT = 64
 
-LEFT = End(Outcome.CONNECTION_LOST, True, "runner left")
-LOST = End(Outcome.CONNECTION_LOST, True, "runner silent")
-UNREACHED = End(Outcome.CONNECTION_LOST, True, "runner unreachable")
-IDLE = End(Outcome.OK, False, "idle")  # the end of a session can't be seen from outside
-MOVED = End(Outcome.CANCELLED, True, "moved")
-UNSURE = End(Outcome.CANCELLED, False, "made room")
+LEFT = SessionEnd(Outcome.CONNECTION_LOST, True, "runner left")
+LOST = SessionEnd(Outcome.CONNECTION_LOST, True, "runner silent")
+UNREACHED = SessionEnd(Outcome.CONNECTION_LOST, True, "runner unreachable")
+IDLE = SessionEnd(Outcome.OK, False, "idle")  # the end of a session can't be seen from outside
+MOVED = SessionEnd(Outcome.CANCELLED, True, "moved")
+UNSURE = SessionEnd(Outcome.CANCELLED, False, "made room")
 
 
-class Sessions:
-    def __init__(self, ctx: Context, paths: Paths, answers: Answers) -> None:
+class SessionTable:
+    def __init__(self, ctx: Context, paths: PathTable, answers: Responder) -> None:
         self.ctx, self.paths, self.answers = ctx, paths, answers
         self.all: dict[str, Session] = {}
         self.decisions: list[tuple[Session, RequestAction]] = []
         # A session under a client-chosen id, or None where that id has had its final answer.
-        self.chosen: Expiring[Session | None] = Expiring(0, 0.0)
+        self.chosen: ExpiringMap[Session | None] = ExpiringMap(0, 0.0)
         self.routes: dict[bytes, Session] = {}  # by ids that runners issued
-        self.moved: Expiring[bool] = Expiring(0, 0.0)
-        self.by_address: dict[Peer, Session] = {}  # those whose ids can't be read
+        self.moved: ExpiringMap[bool] = ExpiringMap(0, 0.0)
+        self.by_address: dict[ClientAddress, Session] = {}  # those whose ids can't be read
         self._unsure: OrderedDict[str, Session] = OrderedDict()  # taken over, the runner has said too little yet
         self._count = 0
         self._sweeping: Iterator[Session] = iter(())
@@ -53,7 +53,7 @@
         settings = self.ctx.settings
         self.chosen.most, self.chosen.lasts = 2 * settings.most_sessions, settings.initial_s
         self.moved.most, self.moved.lasts = IDS_KEPT * settings.most_sessions, MOVED_FOR
-        self._adoptions = Allowance(settings.adopted_per_s, self.ctx.now)
+        self._adoptions = RateLimiter(settings.adopted_per_s, self.ctx.now)
 
     @property
     def full(self) -> bool:
@@ -67,7 +67,7 @@
 
     # ------------------------------------------------------------ standing
 
-    def adopt(self, peer: Peer, server: int) -> Session | None:
+    def adopt(self, peer: ClientAddress, server: int) -> Session | None:
         """A session that began at another balancer, or here before a restart. Until its runner has said enough
         it is one of a bounded number, of which the oldest makes room: guards against ids made up.
         """
@@ -100,7 +100,7 @@
         session.ids = (*ids, dcid)
         self.routes[dcid] = session
 
-    def forward(self, session: Session, data: bytes, peer: Peer, dcid: bytes = b"") -> None:
+    def forward(self, session: Session, data: bytes, peer: ClientAddress, dcid: bytes = b"") -> None:
         """A client's datagram to the runner of a session that stands."""
         path = session.path
         if path is None or path.peer != peer:
@@ -121,7 +121,7 @@
         if session.moving and path.dcid:
             self.end(session, MOVED)
 
-    def _switch(self, session: Session, peer: Peer) -> Path | None:
+    def _switch(self, session: Session, peer: ClientAddress) -> Path | None:
         """The path of another address of the client's: one it had, or a new one (RFC 9000, 9)."""
         path = next((p for p in session.others or () if p.peer == peer), None)
         if path is None:
@@ -166,7 +166,7 @@
         if session.path is not None and session.path.dcid:
             self.end(session, MOVED)
 
-    def end(self, session: Session, end: End) -> None:
+    def end(self, session: Session, end: SessionEnd) -> None:
         """The one end of a session that stood."""
         if session.ended:
             return
--- a/aspensaddle/frontends/quic/settings.py
+++ b/aspensaddle/frontends/quic/settings.py
@@ -16,9 +16,9 @@
 from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, flag, integer, number, obj, text
 
 if TYPE_CHECKING:
-    from aspensaddle.frontends.quic.directory import IdConfig
-    from aspensaddle.frontends.quic.rules import Rules
-    from aspensaddle.frontends.quic.tokens import TokenKey, Tokens
+    from aspensaddle.frontends.quic.connection_id_directory import IdConfig
+    from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenKey
+    from aspensaddle.frontends.quic.session_rules import SessionRules
 
 KEYS = {
     "enabled",
@@ -52,7 +52,7 @@
 class RetrySettings:
     """When and how clients have to prove their address."""
 
-    tokens: Tokens
+    tokens: RetryTokens
     above_per_s: float  # unproven first Initials a second, over which each is answered with a Retry
     answers_per_s: float  # Retries at most
 
@@ -60,7 +60,7 @@
 @dataclass(frozen=True, slots=True)
 class QuicSettings:
     listen: Address
-    rules: Rules
+    rules: SessionRules
     reset_key: bytes
     ids: tuple[IdConfig, ...]
     retry: RetrySettings | None = None
@@ -85,7 +85,7 @@
     """`folder` is where the file lies: the key file that it names is found from there."""
     if not flag(m, "enabled"):
         return None
-    from aspensaddle.frontends.quic.rules import parse_rules
+    from aspensaddle.frontends.quic.session_rules import parse_rules
 
     _known(m, KEYS)
     name = text(m, "class")
@@ -144,8 +144,8 @@
 
 
 def _parse_config(m: Message, shared: Message) -> IdConfig:
-    from aspensaddle.frontends.quic.directory import IdConfig
-    from aspensaddle.frontends.quic.ids import IdFormat
+    from aspensaddle.frontends.quic.connection_id_directory import IdConfig
+    from aspensaddle.frontends.quic.connection_ids import IdFormat
 
     _known(m, ID_KEYS)
     form = IdFormat(
@@ -198,9 +198,9 @@
     return RetrySettings(tokens, _positive(m, "above_per_s", 100.0), _positive(m, "answers_per_s", 5000.0, 1.0))
 
 
-def parse_token_keys(m: Message, lifetime: float) -> Tokens:
+def parse_token_keys(m: Message, lifetime: float) -> RetryTokens:
     """The key file of the Retry service, which balancers and runners share."""
-    from aspensaddle.frontends.quic.tokens import Tokens
+    from aspensaddle.frontends.quic.retry_tokens import RetryTokens
 
     _known(m, {"keys"})
     keys = []
@@ -212,13 +212,13 @@
     if not keys:
         raise DecodeError("keys must hold one key at least")
     try:
-        return Tokens(keys, lifetime)
+        return RetryTokens(keys, lifetime)
     except ValueError as e:
         raise DecodeError(f"keys: {e}") from None
 
 
 def _parse_key(m: Message) -> TokenKey:
-    from aspensaddle.frontends.quic.tokens import TokenKey
+    from aspensaddle.frontends.quic.retry_tokens import TokenKey
 
     _known(m, TOKEN_KEYS)
     return TokenKey(
--- a/aspensaddle/frontends/quic/slots.py
+++ b/aspensaddle/frontends/quic/socket_slots.py
@@ -19,7 +19,7 @@
 R = TypeVar("R", bound=Hashable)
 
 
-class Slots(Generic[R]):
+class SocketSlots(Generic[R]):
     """Pairs of a socket's number (0 up to `most`) and a runner's address `R`. O(log n) each."""
 
     def __init__(self, most: int, rest: float) -> None:
--- a/aspensaddle/frontends/quic/sockets.py
+++ b/aspensaddle/frontends/quic/sockets.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from aspensaddle.frontends.quic.session import Path, Peer, Runner
+from aspensaddle.frontends.quic.session import ClientAddress, Path, ServerAddress
 from aspensaddle.support.address import Address
 from aspensaddle.support.counters import Counters
 
@@ -21,7 +21,7 @@
 IP_RECVERR, IPV6_RECVERR, MSG_ERRQUEUE = 11, 25, 0x2000  # linux/in.h, linux/in6.h, bits/socket.h
 
 
-class Sockets:
+class UdpSockets:
     """`from_client(data, peer)`, `from_runner(data, slot, runner)` and `unreachable(slot, runner)` are called for
     what comes in.
     """
@@ -36,9 +36,9 @@
         self._numbers: dict[int, int] = {}  # by descriptor
         self._epoll = select.epoll()
         self._epoll.register(self._client, select.EPOLLIN)
-        self.from_client: Callable[[bytes, Peer], None]
-        self.from_runner: Callable[[bytes, int, Runner], None]
-        self.unreachable: Callable[[int, Runner], None]
+        self.from_client: Callable[[bytes, ClientAddress], None]
+        self.from_runner: Callable[[bytes, int, ServerAddress], None]
+        self.unreachable: Callable[[int, ServerAddress], None]
 
     def _udp(self) -> socket.socket:
         sock = socket.socket(self.family, socket.SOCK_DGRAM)
@@ -71,7 +71,7 @@
         self._epoll.register(sock, select.EPOLLIN)
         return True
 
-    def to_client(self, data: bytes, peer: Peer) -> None:
+    def to_client(self, data: bytes, peer: ClientAddress) -> None:
         try:
             self._client.sendto(data, peer)
         except OSError as e:
