--- a/aspensaddle/frontends/quic/__init__.py
+++ b/aspensaddle/frontends/quic/__init__.py
@@ -1,1 +1,1 @@
-"""The QUIC front: places sessions by connection id and does not terminate them. See `docs/quic.md`."""
+"""QUIC front end: routes connections by their connection IDs without terminating them. See `docs/quic.md`."""
--- a/aspensaddle/frontends/quic/address_validation.py
+++ b/aspensaddle/frontends/quic/address_validation.py
@@ -1,30 +1,44 @@
-"""When a client has to prove its address before anything is done for it. Free of I/O; the time is told.
+"""Decides when clients have to validate their address with a Retry. No I/O; callers pass the current time.
 
-Spoofed Initials cost a runner a handshake each. While they come faster than a stated rate, or too many sessions
-are being placed, each unproven one is answered with a Retry, which costs no state. The gate opens again only
-when the rate has stayed under half of that for a while, so that it does not flap at the rate itself.
+Each Initial with a spoofed source address costs a server a handshake. While unvalidated Initials arrive faster than a
+configured rate, or too many sessions are being set up, each of them is answered with a Retry, which needs no state.
+Validation stops only after the rate has stayed below half of the limit for some time, so that it does not flap at the
+limit.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-BUCKETS_PER_SECOND = 5  # of a second, over which the rate is taken
-MIN_CALM_SECONDS = 3.0  # seconds under half the rate before it opens again
-PENDING_SHARE = 0.5  # of the sessions that may be placed at once
+BUCKETS_PER_SECOND = 5  # the rate is counted over a sliding window of one second
+MIN_CALM_SECONDS = 3.0  # time below half the limits before validation stops
+PENDING_SHARE = 0.5  # share of the session setups allowed at once from which validation is required
 
 
 class AddressValidationPolicy:
-    def __init__(self, max_rate: float, max_pending: int) -> None:
-        """`max_rate`: unproven first Initials a second; 0 asks each for a proof, infinity none."""
-        self.max_rate, self.max_pending = max_rate, max_pending
-        self._buckets: deque[tuple[int, int]] = deque()  # bucket of the slice, Initials in it
-        self._initials_in_window = 0  # in all slices
+    """Measures the rate of unvalidated Initials and decides whether they have to be validated."""
+
+    def __init__(self, max_per_second: float, max_pending: int) -> None:
+        """Start without a requirement.
+
+        Args:
+            max_per_second: unvalidated first Initials per second above which validation is required; 0 requires it
+                always, infinity never.
+            max_pending: session setups that are allowed at once.
+        """
+        self.max_rate, self.max_pending = max_per_second, max_pending
+        self._buckets: deque[tuple[int, int]] = deque()  # bucket number and its count of Initials
+        self._initials_in_window = 0  # sum over all buckets
         self._is_active = False
-        self._above_half_rate_at = 0.0
+        self._last_above_half_at = 0.0
 
     def requires_validation(self, now: float, pending: int) -> bool:
-        """Note an unproven first Initial; whether it has to prove its address first."""
+        """Count an unvalidated first Initial and return whether its client has to validate its address.
+
+        Args:
+            now: the current time in seconds.
+            pending: the number of session setups in progress.
+        """
         bucket = int(now * BUCKETS_PER_SECOND)
         self._drop_old_buckets(bucket)
         if not self._buckets or self._buckets[-1][0] != bucket:
@@ -32,10 +46,10 @@
         self._buckets[-1] = bucket, self._buckets[-1][1] + 1
         self._initials_in_window += 1
         if self._initials_in_window > self.max_rate or pending >= self.max_pending * PENDING_SHARE:
-            self._is_active, self._above_half_rate_at = True, now
+            self._is_active, self._last_above_half_at = True, now
         elif self._initials_in_window > self.max_rate / 2 or pending >= self.max_pending * PENDING_SHARE / 2:
-            self._above_half_rate_at = now
-        elif now - self._above_half_rate_at >= MIN_CALM_SECONDS:
+            self._last_above_half_at = now
+        elif now - self._last_above_half_at >= MIN_CALM_SECONDS:
             self._is_active = False
         return self._is_active and self.max_rate != float("inf")
 
--- a/aspensaddle/frontends/quic/client_hello.py
+++ b/aspensaddle/frontends/quic/client_hello.py
@@ -1,6 +1,7 @@
-"""A client's TLS ClientHello: put together from the pieces that its Initials bring, and read.
+"""Reassembles and parses the TLS ClientHello that a client's Initials carry.
 
-Bounded in octets and pieces: what is over raises `ClientHelloError`. How long it is waited for is the caller's.
+Its size and its number of pieces are bounded; beyond a bound, `ClientHelloError` is raised. The time to wait for it
+is bounded by the caller.
 """
 
 from __future__ import annotations
@@ -11,57 +12,62 @@
 from aioquic.buffer import Buffer, BufferReadError
 from aioquic.tls import Alert, pull_client_hello
 
-MAX_CLIENT_HELLO_BYTES = 16384  # of a ClientHello; post-quantum key shares make it 1.5 to 4 KB
-MAX_PIECES = 64  # that stand apart at a time
-HANDSHAKE_HEADER_BYTES = 4  # a handshake message's type and length
+MAX_CLIENT_HELLO_BYTES = 16384  # with post-quantum key shares a ClientHello has 1.5 to 4 KB
+MAX_PIECES = 64  # pieces with gaps between them that are held at a time
+HANDSHAKE_HEADER_BYTES = 4  # type and length of a handshake message
 CLIENT_HELLO_TYPE = 1
-ENCRYPTED_CLIENT_HELLO = 0xFE0D  # RFC 9849
+ENCRYPTED_CLIENT_HELLO = 0xFE0D  # extension type of ECH (RFC 9849)
 MAX_SERVER_NAME_CHARACTERS = 253
-MAX_ALPN_PROTOCOLS = 16  # read; the rest says nothing that a rule could ask for
+MAX_ALPN_PROTOCOLS = 16  # further protocols are ignored: no rule could need them
 
 _NAME = re.compile(r"(?=.{1,253}$)[a-z0-9_-]{1,63}(\.[a-z0-9_-]{1,63})*")
 
 
 class ClientHelloError(Exception):
-    """The client's TLS is not a ClientHello, or is larger than any should be."""
+    """The client's first TLS message is not a ClientHello, or it exceeds a bound."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHello:
-    """What the rules may ask for."""
+    """The fields of a ClientHello that rules can match."""
 
-    server_name: str = ""  # the server name (SNI), in lower case; empty where there is none that can be used
-    alpn: tuple[str, ...] = ()  # the protocols offered, in the client's order
-    encrypted: bool = False  # the true name is hidden (ECH): the outer one is no client's wish
+    server_name: str = ""  # SNI in lower case; empty if it is missing or not a host name
+    alpn: tuple[str, ...] = ()  # offered protocols in the client's order
+    encrypted: bool = False  # ECH hides the real server name; the outer one says nothing about the client
 
 
 class CryptoStreamReassembler:
-    """The CRYPTO stream of a client's Initials from its beginning on (RFC 9000, 7.5 and 19.6)."""
+    """Reassembles the CRYPTO stream of a client's Initials from offset 0 (RFC 9000, 7.5 and 19.6)."""
 
     __slots__ = ("_contiguous", "_pieces")
 
     def __init__(self) -> None:
-        self._contiguous = b""  # what has come without a gap
-        self._pieces: dict[int, bytes] = {}  # by offset, behind a gap
+        """Start with an empty stream."""
+        self._contiguous = b""  # data from offset 0 up to the first gap
+        self._pieces: dict[int, bytes] = {}  # data behind a gap, by offset
 
     @property
     def stored_bytes(self) -> int:
-        """Octets held."""
+        """The number of bytes held."""
         return len(self._contiguous) + sum(map(len, self._pieces.values()))
 
     def add(self, offset: int, data: bytes) -> bool:
-        """Take a piece; whether any of it is new. Raises `ClientHelloError` over the bounds."""
+        """Add a piece of the stream and return whether any of it is new.
+
+        Raises:
+            ClientHelloError: the stream or the number of its pieces exceeds a bound.
+        """
         end = offset + len(data)
         if end > MAX_CLIENT_HELLO_BYTES:
-            raise ClientHelloError(f"a ClientHello over {MAX_CLIENT_HELLO_BYTES} octets")
+            raise ClientHelloError(f"the ClientHello is larger than {MAX_CLIENT_HELLO_BYTES} bytes")
         if end <= len(self._contiguous) or any(o <= offset and end <= o + len(d) for o, d in self._pieces.items()):
             return False
         if offset > len(self._contiguous):
-            # Guards against pieces that overlap without end: one inside the new one gives way to it.
+            # Pieces inside the new one are dropped, so that overlapping pieces cannot accumulate without limit.
             for o in [o for o, d in self._pieces.items() if offset <= o and o + len(d) <= end]:
                 del self._pieces[o]
             if len(self._pieces) >= MAX_PIECES or self.stored_bytes + len(data) > MAX_CLIENT_HELLO_BYTES:
-                raise ClientHelloError("too many pieces of a ClientHello")
+                raise ClientHelloError("the ClientHello has too many separate pieces")
             self._pieces[offset] = data
             return True
         self._contiguous += data[len(self._contiguous) - offset :]
@@ -72,28 +78,34 @@
         return True
 
     def first_message(self) -> bytes | None:
-        """The whole first handshake message, or None while it is not there yet. Raises `ClientHelloError` where what
-        is there can't become a ClientHello.
+        """Return the first handshake message, or None while it is incomplete.
+
+        Raises:
+            ClientHelloError: the data cannot become a ClientHello.
         """
-        head = self._contiguous
-        if head and head[0] != CLIENT_HELLO_TYPE:
-            raise ClientHelloError("the first TLS message is no ClientHello")
-        if len(head) < HANDSHAKE_HEADER_BYTES:
+        contiguous = self._contiguous
+        if contiguous and contiguous[0] != CLIENT_HELLO_TYPE:
+            raise ClientHelloError("the first TLS message is not a ClientHello")
+        if len(contiguous) < HANDSHAKE_HEADER_BYTES:
             return None
-        end = HANDSHAKE_HEADER_BYTES + int.from_bytes(head[1:HANDSHAKE_HEADER_BYTES], "big")
+        end = HANDSHAKE_HEADER_BYTES + int.from_bytes(contiguous[1:HANDSHAKE_HEADER_BYTES], "big")
         if end > MAX_CLIENT_HELLO_BYTES:
-            raise ClientHelloError(f"a ClientHello over {MAX_CLIENT_HELLO_BYTES} octets")
-        return head[:end] if len(head) >= end else None
+            raise ClientHelloError(f"the ClientHello is larger than {MAX_CLIENT_HELLO_BYTES} bytes")
+        return contiguous[:end] if len(contiguous) >= end else None
 
 
 def parse_client_hello(message: bytes) -> ClientHello:
-    """What a whole ClientHello asks for. Raises `ClientHelloError` where it can't be read."""
+    """Parse a complete ClientHello message.
+
+    Raises:
+        ClientHelloError: the message is not a valid ClientHello.
+    """
     if message[:1] != bytes([CLIENT_HELLO_TYPE]):
-        raise ClientHelloError("no ClientHello")
+        raise ClientHelloError("the message is not a ClientHello")
     try:
         client_hello = pull_client_hello(Buffer(data=message))
     except (Alert, BufferReadError, ValueError, UnicodeDecodeError) as e:
-        raise ClientHelloError(f"a ClientHello that can't be read: {e}") from None
+        raise ClientHelloError(f"the ClientHello cannot be parsed: {e}") from None
     name = (client_hello.server_name or "").rstrip(".").lower()
     encrypted = any(kind == ENCRYPTED_CLIENT_HELLO for kind, _ in client_hello.other_extensions or [])
     return ClientHello(
--- a/aspensaddle/frontends/quic/connection_id_directory.py
+++ b/aspensaddle/frontends/quic/connection_id_directory.py
@@ -1,8 +1,9 @@
-"""Whose id it is: reads ids of all configurations in use and tells runners from strangers. Free of I/O and time.
+"""Maps connection IDs to servers, for all QUIC-LB configurations in use. No I/O; callers pass the current time.
 
-Up to seven configurations stand side by side (three bits name them), each with server ids of its own, so that a
-key is rolled while sessions stand: the new configuration is read previous any runner issues by it, the old one
-until it is retired (draft, 3.1).
+Up to seven configurations are in use at a time, named by the first three bits of an ID (the config rotation), each
+with server IDs of its own. A key can therefore be rotated while connections are open: the new configuration is
+decoded before any server issues IDs with it, the old one until it is retired
+(draft-ietf-quic-load-balancers, 3.1).
 """
 
 from __future__ import annotations
@@ -18,29 +19,32 @@
 
 @dataclass(frozen=True, slots=True)
 class IdConfig:
-    """One configuration: the form of its ids, and the uid behind each server id."""
+    """One QUIC-LB configuration: the format of its connection IDs and the server UID of each server ID."""
 
     format: IdFormat
     uids: Mapping[bytes, str]
-    retire_at: float | None = None  # Unix time in seconds from which its ids are not routed any more
+    retire_at: float | None = None  # Unix time in seconds from which its connection IDs are not routed
 
     def is_retired(self, unix_time: float) -> bool:
+        """Return whether the configuration is retired at this Unix time in seconds."""
         return self.retire_at is not None and unix_time >= self.retire_at
 
 
 class ConnectionIdKind(Enum):
-    """What an id is."""
+    """What a connection ID refers to. The values are part of counter names."""
 
-    SERVER = "runner"  # of a runner that the file names
-    REMOVED_SERVER = "departed"  # of a runner that the file named until a reload
-    UNKNOWN_SERVER = "stranger"  # whole, but no runner has that server id: garbage, or a key that is wrong
-    RETIRED_CONFIG = "retired"  # of a configuration that is retired: a reset may be sent, nothing is routed
-    UNROUTABLE = "unroutable"  # the codepoint 0b111: by address alone
-    UNKNOWN_CONFIG = "foreign"  # of no configuration, or of another length
+    SERVER = "runner"  # a server that the settings name
+    REMOVED_SERVER = "departed"  # a server that the settings named before a reload
+    UNKNOWN_SERVER = "stranger"  # a well-formed ID without a server: made up, or encrypted with another key
+    RETIRED_CONFIG = "retired"  # a retired configuration: not routed, but answered with a stateless reset
+    UNROUTABLE = "unroutable"  # the codepoint 0b111: routed by the client's address only
+    UNKNOWN_CONFIG = "foreign"  # no configuration in use, or not the length that it asks for
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionIdInfo:
+    """The result of looking up a connection ID. `uid` is that of the server, empty if there is none."""
+
     kind: ConnectionIdKind
     uid: str = ""
 
@@ -52,16 +56,25 @@
 
 
 class ConnectionIdDirectory:
-    """Reads ids by the configurations in force."""
+    """Looks up connection IDs in the configurations in use."""
 
     def __init__(
-        self, configs: Iterable[IdConfig], unroutable_length: int = 0, previous: ConnectionIdDirectory | None = None
+        self,
+        configs: Iterable[IdConfig],
+        unroutable_length: int = 0,
+        previous: ConnectionIdDirectory | None = None,
     ) -> None:
-        """`unroutable_length`: octets of ids under 0b111 where all runners make them alike; 0 where they don't.
-        `before`: the directory that this one replaces, whose runners are remembered as departed.
+        """Create a directory of these configurations.
+
+        Args:
+            configs: the configurations, each with a config rotation of its own.
+            unroutable_length: length in bytes of connection IDs with the codepoint 0b111, if it is the same at all
+                servers; else 0.
+            previous: the directory that this one replaces. Its servers that are not configured any more are
+                remembered as removed.
         """
         self.configs = {c.format.rotation: c for c in configs}
-        # The length of an id by the top three bits of its first octet; 0: not to be told.
+        # The length of a connection ID in bytes by the first three bits of its first byte; 0 if it is unknown.
         self.lengths_by_codepoint = [
             self.configs[r].format.length if r in self.configs else 0 for r in range(CODEPOINT_COUNT - 1)
         ] + [unroutable_length]
@@ -69,22 +82,25 @@
         self._removed_uids: set[str] = set() if previous is None else (previous._removed_uids | previous.uids) - named
         self.uids: frozenset[str] = frozenset(named)
         self._retired: set[int] = set()
-        # What the replaced configurations called those who have left; their ids are under way for a while.
+        # The server IDs that removed servers had in replaced configurations; packets to them arrive for a while.
         self._removed_server_ids: dict[int, Mapping[bytes, str]] = {}
         if previous is not None:
             for rotation, config in previous.configs.items():
                 known = {**previous._removed_server_ids.get(rotation, {}), **config.uids}
                 self._removed_server_ids[rotation] = {s: uid for s, uid in known.items() if uid in self._removed_uids}
 
-    def extract(self, after_first_octet: bytes) -> bytes | None:
-        """The id behind a short header's first octet: its own first octet tells how long it is."""
-        if not after_first_octet:
+    def extract(self, after_first_byte: bytes) -> bytes | None:
+        """Return the connection ID at the start of what follows the first byte of a short-header packet.
+
+        Its own first byte determines its length. None if the length is unknown or the packet is shorter.
+        """
+        if not after_first_byte:
             return None
-        length = self.lengths_by_codepoint[after_first_octet[0] >> 5]
-        return after_first_octet[:length] if 0 < length <= len(after_first_octet) else None
+        length = self.lengths_by_codepoint[after_first_byte[0] >> 5]
+        return after_first_byte[:length] if 0 < length <= len(after_first_byte) else None
 
     def look_up(self, cid: bytes, unix_time: float) -> ConnectionIdInfo:
-        """What a whole id is, at this Unix time."""
+        """Return what a complete connection ID refers to at this Unix time in seconds."""
         if not cid:
             return UNKNOWN_CONFIG
         rotation = cid[0] >> 5
@@ -103,17 +119,17 @@
         return UNKNOWN_SERVER
 
     def is_routable(self, cid: bytes) -> bool:
-        """Whether an id is whole and of a configuration, so that later ones of its runner will be too."""
+        """Return whether an ID has the format of a configuration; later IDs from its server then have one too."""
         config = self.configs.get(cid[0] >> 5) if cid else None
         return config is not None and config.format.matches(cid)
 
     def may_identify_session(self, cid: bytes, unix_time: float) -> bool:
-        """Whether an id is one by which a session may still be found."""
+        """Return whether a packet to this connection ID may still belong to a session."""
         config = self.configs.get(cid[0] >> 5)
         return cid[0] >> 5 == UNROUTABLE_CODEPOINT or (config is not None and not config.is_retired(unix_time))
 
     def has_newly_retired(self, unix_time: float) -> bool:
-        """Whether a configuration has retired since this was last asked."""
+        """Return whether a configuration has retired since the previous call."""
         retired = {r for r, c in self.configs.items() if c.is_retired(unix_time)}
-        new, self._retired = retired != self._retired, retired
-        return new
+        changed, self._retired = retired != self._retired, retired
+        return changed
--- a/aspensaddle/frontends/quic/connection_ids.py
+++ b/aspensaddle/frontends/quic/connection_ids.py
@@ -1,9 +1,9 @@
-"""Routable connection ids as draft-ietf-quic-load-balancers lays them out, and stateless reset tokens.
+"""Routable connection IDs of draft-ietf-quic-load-balancers (QUIC-LB), and stateless reset tokens.
 
-The first octet holds the configuration in its top three bits (section 3.1) and, where a configuration asks for
-it, the id's own length in the other five (section 3.3). Behind it stand the runner's server id and a nonce:
-plain (5.1), as one AES block where they fill it (5.4.1), or through the four passes of a Feistel network (5.4.2).
-What a runner needs to issue such ids is here too, so that both sides read the same.
+The first three bits of an ID are the config rotation (section 3.1); the other five bits of its first byte are random
+or, if a configuration asks for it, the length of the rest (section 3.3). The server ID and a nonce follow: in
+plaintext (5.1), as one AES block if they fill it (5.4.1), or encrypted with a four-pass Feistel network (5.4.2).
+Encoding is here as well as decoding, so that servers and the front end share one implementation.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from cryptography.hazmat.primitives.ciphers.algorithms import AES
 from cryptography.hazmat.primitives.ciphers.modes import ECB
 
-UNROUTABLE_CODEPOINT = 7  # the codepoint that the draft keeps for ids without a server id (section 3.2)
-MAX_CID_BYTES = 20  # octets of an id in versions 1 and 2 (RFC 9000, 17.2)
+UNROUTABLE_CODEPOINT = 7  # reserved by the draft for IDs without a server ID (section 3.2)
+MAX_CID_BYTES = 20  # longest ID in QUIC versions 1 and 2 (RFC 9000, 17.2)
 MAX_SERVER_ID_BYTES = 15
 MIN_NONCE_BYTES = 4
 AES_BLOCK_BYTES = 16
@@ -27,55 +27,66 @@
 
 @dataclass(frozen=True, slots=True)
 class IdFormat:
-    """How the ids of one configuration are laid out. Impossible figures raise a `ValueError` that names them.
+    """The format of the connection IDs of one configuration.
 
-    `key` is 16 octets or None (plaintext); `self_length` writes and checks the length in the first octet.
+    `key` has 16 bytes, or is None for plaintext IDs. `self_length` writes the length into the first byte and checks
+    it there. Lengths are in bytes. A value out of range raises a `ValueError` that names the field.
     """
 
     rotation: int
-    server_id_length: int  # octets
-    nonce_length: int  # octets
+    server_id_length: int
+    nonce_length: int
     key: bytes | None = None
     self_length: bool = False
     _encryptor: CipherContext | None = field(init=False, repr=False, compare=False, default=None)
     _decryptor: CipherContext | None = field(init=False, repr=False, compare=False, default=None)
 
     def __post_init__(self) -> None:
+        """Check the fields and set up the cipher."""
         if not 0 <= self.rotation < UNROUTABLE_CODEPOINT:
             raise ValueError(f"rotation must be 0 to {UNROUTABLE_CODEPOINT - 1}, not {self.rotation}")
         if not 1 <= self.server_id_length <= MAX_SERVER_ID_BYTES:
             raise ValueError(f"server_id_length must be 1 to {MAX_SERVER_ID_BYTES}, not {self.server_id_length}")
         if self.nonce_length < MIN_NONCE_BYTES or self.length > MAX_CID_BYTES:
             raise ValueError(
-                f"nonce_length must be {MIN_NONCE_BYTES} at least and the id {MAX_CID_BYTES} octets at most, "
-                f"not {self.nonce_length}"
+                f"nonce_length must be at least {MIN_NONCE_BYTES}, and the connection ID at most "
+                f"{MAX_CID_BYTES} bytes, not {self.nonce_length}"
             )
         if self.key is not None:
             if len(self.key) != AES_BLOCK_BYTES:
-                raise ValueError(f"key must be {AES_BLOCK_BYTES} octets")
+                raise ValueError(f"key must be {AES_BLOCK_BYTES} bytes")
             cipher = Cipher(AES(self.key), ECB())
             object.__setattr__(self, "_encryptor", cipher.encryptor())
             object.__setattr__(self, "_decryptor", cipher.decryptor())
 
     @property
     def length(self) -> int:
-        """Octets of an id, its first one included."""
+        """The length of a connection ID in bytes, including its first byte."""
         return 1 + self.server_id_length + self.nonce_length
 
     @property
     def algorithm(self) -> str:
+        """The draft's name for how IDs are encrypted: `plaintext`, `single-pass` or `four-pass`."""
         if self.key is None:
             return "plaintext"
         return "single-pass" if self.length == 1 + AES_BLOCK_BYTES else "four-pass"
 
     def encode(self, server_id: bytes, nonce: bytes | None = None) -> bytes:
-        """A new id for a runner. Nonces must not repeat under one key; the one made here is random."""
+        """Return a new connection ID for a server.
+
+        Args:
+            server_id: the server ID.
+            nonce: must not repeat under one key; random if it is None.
+
+        Raises:
+            ValueError: an argument does not have the length that the format asks for.
+        """
         if len(server_id) != self.server_id_length:
-            raise ValueError(f"the server id must be {self.server_id_length} octets")
+            raise ValueError(f"the server ID must be {self.server_id_length} bytes")
         nonce = os.urandom(self.nonce_length) if nonce is None else nonce
         if len(nonce) != self.nonce_length:
-            raise ValueError(f"the nonce must be {self.nonce_length} octets")
-        low = self.length - 1 if self.self_length else os.urandom(1)[0] & LENGTH_MASK
+            raise ValueError(f"the nonce must be {self.nonce_length} bytes")
+        low_bits = self.length - 1 if self.self_length else os.urandom(1)[0] & LENGTH_MASK
         body = server_id + nonce
         if self._encryptor is not None:
             body = (
@@ -83,14 +94,14 @@
                 if len(body) == AES_BLOCK_BYTES
                 else self._feistel_passes(body, (1, 2, 3, 4))
             )
-        return bytes([self.rotation << 5 | low]) + body
+        return bytes([self.rotation << 5 | low_bits]) + body
 
     def matches(self, cid: bytes) -> bool:
-        """Whether an id could be of this configuration, by its length and what it says of it."""
+        """Return whether an ID has this format's length, and says so if `self_length` is set."""
         return len(cid) == self.length and (not self.self_length or cid[0] & LENGTH_MASK == self.length - 1)
 
     def decode(self, cid: bytes) -> bytes:
-        """The server id in an id that `matches`."""
+        """Return the server ID in a connection ID that `matches`."""
         body = cid[1 : self.length]
         if self._decryptor is not None:
             body = (
@@ -101,8 +112,10 @@
         return body[: self.server_id_length]
 
     def _feistel_passes(self, body: bytes, order: tuple[int, int, int, int]) -> bytes:
-        """Draft, 5.4.2. Odd passes change the right half by the left one, even passes the other way round, so
-        the same passes backwards undo them. Halves of an odd number of octets share the middle one.
+        """Encrypt, or decrypt with the passes in reverse order (draft, 5.4.2).
+
+        Odd passes mask the right half with a function of the left half, even passes do the opposite, so the same
+        passes in reverse order undo them. With an odd number of bytes, the halves share the middle byte.
         """
         assert self._encryptor is not None
         length = len(body)
@@ -111,8 +124,8 @@
         left = number >> 8 * (length - half)
         right = number & (1 << 8 * half) - 1
         if odd:
-            left &= ~0x0F  # the middle octet's upper four bits are the left half's
-            right &= (1 << 8 * half - 4) - 1  # and its lower four the right one's
+            left &= ~0x0F  # the upper four bits of the middle byte belong to the left half
+            right &= (1 << 8 * half - 4) - 1  # and the lower four to the right half
         for n in order:
             source = left if n % 2 else right
             block = source.to_bytes(half, "big").ljust(AES_BLOCK_BYTES - 2, b"\0") + bytes([length, n])
@@ -130,7 +143,8 @@
 
 
 def derive_stateless_reset_token(key: bytes, cid: bytes) -> bytes:
-    """The stateless reset token of an id (RFC 9000, 10.3.2): runners issue it, and whoever has the key can
-    send the reset.
+    """Return the stateless reset token of a connection ID (RFC 9000, 10.3.2).
+
+    Servers issue it, and any process with the key can send the stateless reset.
     """
     return hmac.digest(key, b"stateless reset" + cid, "sha256")[:STATELESS_RESET_TOKEN_BYTES]
--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the front share: the settings in force, the time, the driver, and the way out."""
+"""State that the modules of the front end share: settings, time, the driver and the transport."""
 
 from __future__ import annotations
 
@@ -16,16 +16,22 @@
 
 
 class Transport(Protocol):
-    """The way out. What can't be sent is lost, as any datagram may be."""
+    """Sends datagrams. One that cannot be sent is lost, as any datagram may be."""
+
+    def send_to_client(self, data: bytes, client_address: ClientAddress) -> None:
+        """Send a datagram from the listening socket to a client."""
+
+    def send_to_server(self, data: bytes, path: Path) -> None:
+        """Send a datagram from the path's socket to its server."""
 
-    def send_to_client(self, data: bytes, client_address: ClientAddress) -> None: ...
-    def send_to_server(self, data: bytes, path: Path) -> None: ...
     def open_socket(self, slot: int) -> bool:
-        """Have a socket under this number; False where there is no descriptor for one."""
+        """Open the socket with this slot number unless it is open; return False without a free descriptor."""
 
 
 @dataclass(slots=True)
 class Context:
+    """State that the modules of the front end share."""
+
     settings: QuicSettings
     directory: ConnectionIdDirectory
     driver: Driver
@@ -33,6 +39,6 @@
     counters: Counters
     log: Log
     transport: Transport
-    unix_time: Callable[[], float]  # seconds; what balancers have in common
-    now: float = 0.0  # seconds of a clock that only goes forward, told before each step
+    unix_time: Callable[[], float]  # in seconds; all balancers share this clock
+    now: float = 0.0  # in seconds of a monotonic clock; updated before each step
     shutting_down: bool = False
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -1,7 +1,7 @@
-"""Where a datagram goes: the front without sockets and time.
+"""Routes datagrams between clients and servers, without sockets and without a clock of its own.
 
-A datagram finds its runner by the id it is sent to: first by what is remembered of sessions, then by the server
-id within a routable one, which needs no memory at all. What opens a connection is placed (`session_setup.py`).
+A datagram is routed by its Destination Connection ID: by the sessions in memory first, then by the server ID in a
+routable connection ID, which needs no memory. A connection's first Initial starts a session (`session_setup.py`).
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-MAX_EARLY_ZERO_RTT_CIDS, MAX_EARLY_ZERO_RTT_DATAGRAMS, EARLY_ZERO_RTT_SECONDS = (
-    64,
-    4,
-    0.5,
-)  # ids whose 0-RTT came before its Initial; datagrams; seconds
+# Limits for 0-RTT datagrams that arrive before their Initial: the number of connection IDs, of datagrams to each, and
+# the time for which they are kept
+MAX_EARLY_ZERO_RTT_CIDS, MAX_EARLY_ZERO_RTT_DATAGRAMS, EARLY_ZERO_RTT_SECONDS = 64, 4, 0.5
 
 
 class Engine:
+    """Routes datagrams, and creates and connects the parts of the front end."""
+
     def __init__(
         self,
         settings: QuicSettings,
@@ -55,6 +55,18 @@
         unix_time: Callable[[], float],
         now: float,
     ) -> None:
+        """Start without sessions.
+
+        Args:
+            settings: the settings in force.
+            driver: decides about sessions.
+            endpoints: the endpoint list.
+            counters: the process's counters.
+            log: the process's log.
+            transport: sends datagrams.
+            unix_time: returns the Unix time in seconds.
+            now: the current time of a monotonic clock in seconds; `advance` sets it from then on.
+        """
         directory = ConnectionIdDirectory(settings.ids, settings.unroutable_length)
         self.context = Context(settings, directory, driver, endpoints, counters, log, transport, unix_time, now)
         self.paths = PathTable(self.context)
@@ -75,7 +87,7 @@
         )
 
     def configure(self, settings: QuicSettings) -> None:
-        """Other settings from now on. What stands goes on; ids that nothing reads any more are forgotten."""
+        """Use other settings from now on. Sessions go on; connection IDs that are not readable now are forgotten."""
         context = self.context
         context.directory = ConnectionIdDirectory(
             settings.ids, settings.unroutable_length, previous=context.directory
@@ -87,12 +99,16 @@
         self.sessions.forget_unreadable_cids()
         self._apply_settings()
 
-    # ------------------------------------------------------------ from clients
+    # Datagrams from clients
 
     def handle_client_datagram(self, data: bytes, client_address: ClientAddress) -> None:
-        """A datagram of a client's. Raises `MalformedPacketError` where it is no QUIC."""
+        """Route a client's datagram.
+
+        Raises:
+            MalformedPacketError: the datagram is not valid QUIC.
+        """
         if len(data) < 2:
-            raise MalformedPacketError("too short")
+            raise MalformedPacketError("the datagram is too short")
         if data[0] & 0x80:
             self._handle_long_header(data, client_address)
             return
@@ -107,23 +123,23 @@
         elif 0 < length <= len(data) - 1:
             self._route_by_server_id(data, client_address, dcid)
         else:
-            # Not even a reset: without the whole id no token can be made that the client knows.
+            # No stateless reset either: its token derives from the whole connection ID, which is not known.
             self.context.counters.add("quic unroutable")
 
     def _handle_long_header(self, data: bytes, client_address: ClientAddress) -> None:
         context, sessions = self.context, self.sessions
-        seen = parse_invariants(data)
-        dcid = seen.dcid
-        if seen.version not in SUPPORTED_VERSIONS:
-            self.responder.send_version_negotiation(data, client_address, seen)
+        header = parse_invariants(data)
+        dcid = header.dcid
+        if header.version not in SUPPORTED_VERSIONS:
+            self.responder.send_version_negotiation(data, client_address, header)
         elif (session := sessions.by_client_cid.get(dcid, context.now)) is not None:
             setup = session.setup
             packets = parse_long_header_packets(data)
             if client_address != (
                 setup.client_address if setup is not None else session.path and session.path.client_address
             ):
-                # A client has one address until its handshake is over (RFC 9000, 9). Guards against copies from
-                # elsewhere that would open paths to the runner.
+                # A client keeps its address until the handshake is confirmed (RFC 9000, 9). Copies of its packets
+                # that are sent from other addresses must not open paths to the server.
                 context.counters.add("quic from elsewhere")
             elif any(p.type is QuicPacketType.INITIAL for p in packets) and len(data) < MIN_INITIAL_DATAGRAM_BYTES:
                 context.counters.add("quic short initials")  # RFC 9000, 14.1
@@ -132,7 +148,7 @@
             else:
                 self.session_setup.add_client_datagram(session, setup, data, packets)
         elif sessions.by_client_cid.has(dcid, context.now):
-            context.counters.add("quic answered before")  # another answer would be a second
+            context.counters.add("quic answered before")  # the client gets one final response only
         elif (session := sessions.by_server_cid.get(dcid)) is not None:
             sessions.forward_to_server(session, data, client_address, dcid)
         else:
@@ -140,39 +156,40 @@
         self.session_setup.carry_out_actions()
 
     def _handle_unknown_long_header(self, data: bytes, client_address: ClientAddress, dcid: bytes) -> None:
-        """A long header with an id that nothing is remembered of."""
+        """Handle a long-header packet whose connection ID is not in memory."""
         packets = parse_long_header_packets(data)
-        kind = packets[0].type if packets else None
-        if kind is QuicPacketType.INITIAL:
+        packet_type = packets[0].type if packets else None
+        if packet_type is QuicPacketType.INITIAL:
             self._handle_initial(data, client_address, packets)
-        elif kind is QuicPacketType.RETRY:
-            raise MalformedPacketError("a Retry from a client")
-        elif kind is QuicPacketType.ZERO_RTT and not self.context.directory.is_routable(dcid):
-            # It has overtaken its Initial, or that was lost (RFC 9000, 5.2.2).
-            held = self._early_zero_rtt.get(dcid, self.context.now) or []
-            if len(held) < MAX_EARLY_ZERO_RTT_DATAGRAMS:
-                self._early_zero_rtt.put(dcid, [*held, data], self.context.now)
+        elif packet_type is QuicPacketType.RETRY:
+            raise MalformedPacketError("the client sent a Retry packet")
+        elif packet_type is QuicPacketType.ZERO_RTT and not self.context.directory.is_routable(dcid):
+            # The 0-RTT packet has overtaken its Initial, or that was lost (RFC 9000, 5.2.2).
+            early = self._early_zero_rtt.get(dcid, self.context.now) or []
+            if len(early) < MAX_EARLY_ZERO_RTT_DATAGRAMS:
+                self._early_zero_rtt.put(dcid, [*early, data], self.context.now)
         elif client_address in self.sessions.by_address:
             self.sessions.forward_to_server(self.sessions.by_address[client_address], data, client_address)
         else:
             self._route_by_server_id(data, client_address, dcid)
 
     def _handle_initial(self, data: bytes, client_address: ClientAddress, packets: list[Packet]) -> None:
-        """An Initial to an id that nothing is remembered of: a client opens a connection, or one that another
-        balancer has placed goes on here.
+        """Handle an Initial whose connection ID is not in memory.
+
+        Either a client starts a connection, or one that another balancer has established continues here.
         """
         context, packet = self.context, packets[0]
         if len(data) < MIN_INITIAL_DATAGRAM_BYTES:
             context.counters.add("quic short initials")
             return
-        proven, original_dcid = False, packet.dcid
+        validated, original_dcid = False, packet.dcid
         if packet.token and context.settings.retry is not None:
             verdict, contents = context.settings.retry.tokens.check(
                 packet.token, client_address[0], client_address[1], packet.dcid, context.unix_time()
             )
             context.counters.add(f"quic tokens {verdict.value}")
             if verdict is TokenVerdict.VALID and contents is not None:
-                proven, original_dcid = True, contents.original_dcid
+                validated, original_dcid = True, contents.original_dcid
             elif verdict is not TokenVerdict.ABSENT:
                 self.sessions.by_client_cid.put(packet.dcid, None, context.now)
                 self.responder.send_invalid_token(packet, client_address)
@@ -182,7 +199,7 @@
             and context.directory.look_up(packet.dcid, context.unix_time()).kind is ConnectionIdKind.SERVER
         )
         if (
-            not proven
+            not validated
             and not names_server
             and len(packet.dcid) >= MIN_CLIENT_CHOSEN_DCID_BYTES
             and self._address_validation is not None
@@ -191,21 +208,23 @@
             self.responder.send_retry(packet, client_address)
             return
         if not self._initial_limiter.try_acquire(context.now):
-            # Opening one costs some hashing. Not sent on by its id either: that would be a new session which
-            # the module has not placed.
+            # Decrypting an Initial costs some hashing. It is not routed by its connection ID either: that would be a
+            # new session that the balancer has not placed.
             context.counters.add("quic initials held back")
             return
         flight = Flight(packet.dcid)
-        opened = flight.read_first_initial(packet) if len(packet.dcid) >= MIN_CLIENT_CHOSEN_DCID_BYTES else None
-        if opened is None and client_address in self.sessions.by_address:
+        first_frames = flight.read_first_initial(packet) if len(packet.dcid) >= MIN_CLIENT_CHOSEN_DCID_BYTES else None
+        if first_frames is None and client_address in self.sessions.by_address:
             self.sessions.forward_to_server(self.sessions.by_address[client_address], data, client_address)
-        elif opened is None:
+        elif first_frames is None:
             self._route_by_server_id(data, client_address, packet.dcid)
-        elif packet.token and names_server and not proven:
-            # A runner's Retry that another balancer has passed on: its token is worth nothing elsewhere.
+        elif packet.token and names_server and not validated:
+            # Another balancer has forwarded a server's Retry, whose token no other server accepts.
             self._route_by_server_id(data, client_address, packet.dcid)
         else:
-            session = self.session_setup.start(data, client_address, packets, flight, opened, original_dcid, proven)
+            session = self.session_setup.start(
+                data, client_address, packets, flight, first_frames, original_dcid, validated
+            )
             for early in self._early_zero_rtt.pop(packet.dcid) or () if session is not None else ():
                 if session is not None and session.setup is not None:
                     self.session_setup.add_client_datagram(
@@ -213,36 +232,35 @@
                     )
 
     def _route_by_server_id(self, data: bytes, client_address: ClientAddress, dcid: bytes) -> None:
-        """A datagram to an id of no known session: it goes to the runner that the id names."""
+        """Route a datagram that belongs to no known session to the server that its connection ID names."""
         context, sessions = self.context, self.sessions
-        reading = context.directory.look_up(dcid, context.unix_time())
-        if reading.kind is not ConnectionIdKind.SERVER:
+        info = context.directory.look_up(dcid, context.unix_time())
+        if info.kind is not ConnectionIdKind.SERVER:
             context.counters.add("quic unroutable")
-            context.counters.add(f"quic ids {reading.kind.value}")
-            if reading.kind in (ConnectionIdKind.REMOVED_SERVER, ConnectionIdKind.RETIRED_CONFIG):
+            context.counters.add(f"quic ids {info.kind.value}")
+            if info.kind in (ConnectionIdKind.REMOVED_SERVER, ConnectionIdKind.RETIRED_CONFIG):
                 self.responder.send_stateless_reset(dcid, len(data), client_address)
             return
-        server = context.endpoints.find(reading.uid)
+        server = context.endpoints.find(info.uid)
         if server is None or sessions.reset_cids.get(dcid, context.now):
-            self.responder.send_stateless_reset(
-                dcid, len(data), client_address
-            )  # lost or moved: the client may come again at once
+            # The server is gone or the session was reset; with another reset, the client can reconnect at once.
+            self.responder.send_stateless_reset(dcid, len(data), client_address)
             return
         path = self.paths.find_path(client_address, server)
         session = path.session if path is not None else None
-        if session is None or session.setup is not None:  # another connection of the same client's
+        if session is None or session.setup is not None:  # setup: another connection from the same address
             session = sessions.adopt(client_address, server)
         if session is not None:
             sessions.add_cid(session, dcid)
             sessions.forward_to_server(session, data, client_address, dcid)
 
-    # ------------------------------------------------------------ from runners
+    # Datagrams from servers
 
     def handle_server_datagram(self, data: bytes, slot: int, server_address: ServerAddress) -> None:
-        """A datagram that came on a socket from an address of a runner's."""
+        """Route a datagram that arrived on a slot's socket from a server."""
         path = self.paths.find_path_by_slot(slot, server_address)
         if path is None:
-            self.context.counters.add("quic late returns")  # of an attempt or a session that has ended
+            self.context.counters.add("quic late returns")  # its attempt or session has ended
             return
         session = path.session
         if session.setup is None:
@@ -252,23 +270,25 @@
             self.session_setup.carry_out_actions()
 
     def handle_unreachable_server(self, slot: int, server_address: ServerAddress) -> None:
-        """No process listens at an address to which something was sent from this socket."""
+        """Handle an ICMP error for a datagram from a slot's socket: no process listens at the server address."""
         path = self.paths.find_path_by_slot(slot, server_address)
         if path is not None:
             self.session_setup.handle_unreachable_server(path)
             self.session_setup.carry_out_actions()
 
-    # ------------------------------------------------------------ time, and what the module decides by itself
+    # Time
 
     def advance(self, now: float) -> None:
-        """Time goes on: carry out what the module has decided meanwhile and what is due."""
+        """Set the time, in seconds; carry out what the driver has decided meanwhile, and run due timers."""
         self.context.now = now
         self.session_setup.carry_out_actions()
         self.session_setup.run_timers()
 
     def sweep(self) -> None:
+        """End sessions, of a part of all, that are idle or whose server is lost."""
         self.sessions.sweep()
         self.session_setup.carry_out_actions()
 
     def next_timer(self) -> float | None:
+        """Return when `advance` is to be called next, in seconds; None if there is no timer."""
         return self.session_setup.next_timer()
--- a/aspensaddle/frontends/quic/flight.py
+++ b/aspensaddle/frontends/quic/flight.py
@@ -1,7 +1,7 @@
-"""What a client sends before its session stands, kept so that it can be offered to one runner after another.
+"""A client's first datagrams, kept until its session is established so that each attempt can send them to a server.
 
-Free of I/O and time. The datagrams that brought something new of the ClientHello come first, in the order they
-came, then those with 0-RTT: a runner drops 0-RTT that it can't place, and before the ClientHello it can't.
+No I/O and no clock. Datagrams that brought a new part of the ClientHello come first, in the order of their arrival;
+those with 0-RTT follow, because a server drops 0-RTT packets that it receives before the ClientHello.
 """
 
 from __future__ import annotations
@@ -19,26 +19,29 @@
 from aspensaddle.frontends.quic.initial import InitialFrames, InitialKeys
 from aspensaddle.frontends.quic.packets import Packet
 
-MAX_INITIALS, MAX_INITIAL_BYTES = 24, 32768  # of a flight
-MAX_ZERO_RTT_DATAGRAMS, MAX_ZERO_RTT_BYTES = 10, 15000  # of 0-RTT
+MAX_INITIALS, MAX_INITIAL_BYTES = 24, 32768  # datagrams with Initials in one flight
+MAX_ZERO_RTT_DATAGRAMS, MAX_ZERO_RTT_BYTES = 10, 15000  # datagrams with 0-RTT in one flight
 
 
 class AddResult(Enum):
-    """What became of a client's datagram."""
+    """The result of adding a client's datagram to a flight."""
 
-    STORED = "new"  # kept, and for the runner that is being tried
-    FORWARD_ONLY = "repeated"  # only for the runner that is being tried: it may have lost what this says again
-    DROPPED = "dropped"  # nobody's: no key opens it, or there is no room
+    STORED = "new"  # kept; the server of the current attempt gets it too
+    FORWARD_ONLY = (
+        "repeated"  # not kept: only the server of the current attempt gets it, which may have lost the data
+    )
+    DROPPED = "dropped"  # not for any server: it cannot be decrypted, or there is no room
 
 
 class Flight:
-    """A client's first datagrams to one id that it made up, or was given by a Retry."""
+    """A client's first datagrams to one connection ID, which it chose itself or was given by a Retry."""
 
     __slots__ = ("_crypto_stream", "_initials", "_stored", "_zero_rtt", "client_hello", "keys")
 
     def __init__(self, dcid: bytes) -> None:
+        """Start an empty flight to `dcid`, from which the Initial keys are derived."""
         self.keys = InitialKeys(dcid)
-        self.client_hello: ClientHello | None = None  # once it is whole
+        self.client_hello: ClientHello | None = None  # set when it is complete
         self._initials: list[bytes] = []
         self._zero_rtt: list[bytes] = []
         self._crypto_stream = CryptoStreamReassembler()
@@ -46,54 +49,62 @@
 
     @property
     def datagrams(self) -> list[bytes]:
-        """All that is kept, in the order to offer it."""
+        """The stored datagrams, in the order in which to send them to a server."""
         return self._initials + self._zero_rtt
 
     @property
     def stored_bytes(self) -> int:
+        """The size of the stored datagrams in bytes."""
         return sum(map(len, self._initials)) + sum(map(len, self._zero_rtt))
 
     def read_first_initial(self, packet: Packet) -> InitialFrames | None:
-        """The frames of what may be a client's first Initial: it opens under the keys of the very id it is sent
-        to and carries a part of the ClientHello. A later one has the keys of the first.
+        """Return the frames of a client's first Initial, or None if the packet is not one.
+
+        A first Initial is encrypted with keys of the connection ID that it is sent to, and it carries a part of the
+        ClientHello. Later Initials use the keys of the first one.
         """
         frames = self.keys.decrypt(packet, from_client=True)
         return frames if frames is not None and frames.crypto else None
 
-    def add_datagram(self, data: bytes, packets: list[Packet], opened: InitialFrames | None = None) -> AddResult:
-        """Take a datagram to this id. `opened`: the frames of its first packet, where they are known already.
+    def add_datagram(self, data: bytes, packets: list[Packet], decrypted: InitialFrames | None = None) -> AddResult:
+        """Add a client's datagram to this connection ID, with its long-header packets.
+
+        `decrypted` are the frames of the first packet if it has been decrypted already.
 
-        Raises `ClientHelloError` where the client's TLS is no ClientHello or over the bounds.
+        Raises:
+            ClientHelloError: the client's TLS message is not a ClientHello or exceeds a bound.
         """
-        if data in self._stored:  # the network's own copy, not the client's repetition
+        if data in self._stored:  # an exact copy was made by the network; a client's retransmission differs
             return AddResult.DROPPED
-        new = sound = early = False
+        has_new_crypto = has_initial = has_zero_rtt = False
         for i, packet in enumerate(packets):
             if packet.type is QuicPacketType.ZERO_RTT:
-                early = True
+                has_zero_rtt = True
             elif packet.type is QuicPacketType.INITIAL:
-                frames = opened if i == 0 and opened is not None else self.keys.decrypt(packet, from_client=True)
+                frames = (
+                    decrypted if i == 0 and decrypted is not None else self.keys.decrypt(packet, from_client=True)
+                )
                 if frames is None:
                     continue
-                sound = True
+                has_initial = True
                 for offset, piece in frames.crypto:
-                    new |= self._crypto_stream.add(offset, piece)
-        if not sound and not early:
+                    has_new_crypto |= self._crypto_stream.add(offset, piece)
+        if not has_initial and not has_zero_rtt:
             return AddResult.DROPPED
-        if new:
-            taken = self._store(self._initials, data, MAX_INITIALS, MAX_INITIAL_BYTES)
+        if has_new_crypto:
+            result = self._store(self._initials, data, MAX_INITIALS, MAX_INITIAL_BYTES)
             self._read_client_hello()
-            return taken
+            return result
         return (
             self._store(self._zero_rtt, data, MAX_ZERO_RTT_DATAGRAMS, MAX_ZERO_RTT_BYTES)
-            if early
+            if has_zero_rtt
             else AddResult.FORWARD_ONLY
         )
 
-    def _store(self, kept: list[bytes], data: bytes, most: int, octets: int) -> AddResult:
-        if len(kept) >= most or sum(map(len, kept)) + len(data) > octets:
+    def _store(self, datagrams: list[bytes], data: bytes, max_datagrams: int, max_bytes: int) -> AddResult:
+        if len(datagrams) >= max_datagrams or sum(map(len, datagrams)) + len(data) > max_bytes:
             return AddResult.DROPPED
-        kept.append(data)
+        datagrams.append(data)
         self._stored.add(data)
         return AddResult.STORED
 
@@ -102,4 +113,5 @@
             try:
                 self.client_hello = parse_client_hello(message)
             except ClientHelloError:
-                self.client_hello = ClientHello()  # the runner says what is wrong with it; the rules see no name
+                # The server reports the error to the client; for the rules it has no server name.
+                self.client_hello = ClientHello()
--- a/aspensaddle/frontends/quic/frontend.py
+++ b/aspensaddle/frontends/quic/frontend.py
@@ -1,4 +1,4 @@
-"""The QUIC front as a service: sockets, time and faults round the engine, in one task."""
+"""The QUIC front end as a service in one task: sockets, timers and error handling around the engine."""
 
 from __future__ import annotations
 
@@ -16,21 +16,28 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-SWEEP_INTERVAL_SECONDS = 0.1  # seconds; each looks at a part of the sessions
-MAX_READ_ROUNDS = 8  # of reading before the other tasks of the process have their turn
-FIXED = ("listen",)  # what only a restart can change
+SWEEP_INTERVAL_SECONDS = 0.1  # each sweep checks a part of the sessions
+MAX_READ_ROUNDS = 8  # rounds of reading before the other tasks of the process run
+FIXED = ("listen",)  # settings that only a restart can change
 
 
 class QuicFrontend:
+    """Accepts QUIC datagrams, and forwards them between clients and servers."""
+
     def __init__(
         self, settings: QuicSettings, driver: Driver, endpoints: EndpointRegistry, counters: Counters, log: Log
     ) -> None:
+        """Prepare the front end; `bind` opens its sockets."""
         self.settings, self.counters, self.log = settings, counters, log
         self._driver, self._endpoints = driver, endpoints
         self._wakeup, self._armed_at = trio.Event(), float("inf")
 
     def bind(self) -> None:
-        """Take the address; raises `OSError` where it can't be had."""
+        """Bind the client socket and create the engine.
+
+        Raises:
+            OSError: the address is not available.
+        """
         self.sockets = UdpSockets(self.settings.listen, self.counters)
         self.engine = Engine(
             self.settings,
@@ -48,6 +55,7 @@
 
     @property
     def shutting_down(self) -> bool:
+        """Whether new sessions are rejected because the process shuts down."""
         return self.engine.context.shutting_down
 
     @shutting_down.setter
@@ -55,19 +63,20 @@
         self.engine.context.shutting_down = value
 
     def configure(self, settings: QuicSettings) -> list[str]:
-        """Other settings from now on; the names of those that need a restart."""
-        kept = [n for n in FIXED if getattr(settings, n) != getattr(self.settings, n)]
+        """Use other settings from now on; return the names of changed settings that need a restart."""
+        needs_restart = [n for n in FIXED if getattr(settings, n) != getattr(self.settings, n)]
         self.settings = settings
         self.engine.context.now = trio.current_time()
         self.engine.configure(settings)
-        return kept
+        return needs_restart
 
     async def run(self) -> None:
+        """Forward datagrams until cancelled, then close the sockets."""
         self.log.event("quic started", listen=self.settings.listen)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._sweep)
-                nursery.start_soon(self._timers)
+                nursery.start_soon(self._run_timers)
                 while True:
                     await self.sockets.wait()
                     self._read()
@@ -81,7 +90,7 @@
             engine.advance(trio.current_time())
             if not self.sockets.read():
                 break
-        self._set_timer()
+        self._update_timer()
 
     def _handle_client_datagram(self, data: bytes, client_address: ClientAddress) -> None:
         self.counters["quic datagrams in"] += 1
@@ -89,7 +98,7 @@
             self.engine.handle_client_datagram(data, client_address)
         except MalformedPacketError:
             self.counters.add("quic malformed")
-        except Exception as e:  # a fault costs one datagram, not the front
+        except Exception as e:  # an internal error costs one datagram, not the front end
             self._report_internal_error(e)
 
     def _handle_server_datagram(self, data: bytes, slot: int, server_address: ServerAddress) -> None:
@@ -103,21 +112,21 @@
         self.counters.add("internal_errors")
         self.log.rate_limited_event("internal_error", error=repr(e))
 
-    # ------------------------------------------------------------ time
+    # Timers
 
-    def _set_timer(self) -> None:
-        """Wake who waits for the next timer, if one is due before it."""
-        at = self.engine.next_timer()
-        if at is not None and at < self._armed_at:
-            self._armed_at = at
+    def _update_timer(self) -> None:
+        """Wake the timer task if a timer is now due earlier than the one that it waits for."""
+        due_at = self.engine.next_timer()
+        if due_at is not None and due_at < self._armed_at:
+            self._armed_at = due_at
             self._wakeup.set()
 
-    async def _timers(self) -> None:
-        """Run what is due, to the moment: an attempt's end, a ClientHello that has not become whole."""
+    async def _run_timers(self) -> None:
+        """Run the engine's timers when they are due: of attempts and of incomplete ClientHellos."""
         while True:
             self._wakeup = trio.Event()
-            at = self.engine.next_timer()
-            self._armed_at = float("inf") if at is None else at
+            due_at = self.engine.next_timer()
+            self._armed_at = float("inf") if due_at is None else due_at
             with trio.move_on_at(self._armed_at):
                 await self._wakeup.wait()
             self.engine.advance(trio.current_time())
--- a/aspensaddle/frontends/quic/initial.py
+++ b/aspensaddle/frontends/quic/initial.py
@@ -1,7 +1,8 @@
-"""Initial packets, which whoever has seen the client's first one can open (RFC 9001, 5.2; RFC 9369, 3.3).
+"""Decrypts and builds Initial packets.
 
-That is all the proof there is before the handshake: nobody who has not seen a client's first Initial can speak
-for either side.
+Their keys are derived from the client's first Destination Connection ID, so anyone who has seen the client's first
+Initial can do both (RFC 9001, 5.2; RFC 9369, 3.3). Before the handshake there is no stronger authentication than
+this: whoever has not seen that Initial cannot forge packets of either side.
 """
 
 from __future__ import annotations
@@ -14,30 +15,33 @@
 
 from aspensaddle.frontends.quic.packets import Packet
 
+# Transport error codes
 NO_ERROR, INTERNAL_ERROR, CONNECTION_REFUSED, INVALID_TOKEN = 0x00, 0x01, 0x02, 0x0B
+# Frame types
 PADDING, PING, ACK, ACK_ECN, CRYPTO, CONNECTION_CLOSE = 0x00, 0x01, 0x02, 0x03, 0x06, 0x1C
-MAX_FRAMES = 256  # read of one packet, padding aside
+MAX_FRAMES = 256  # frames of one packet other than PADDING and PING
 
 
 @dataclass(slots=True)
 class InitialFrames:
-    """What matters in an Initial that opened."""
+    """The frames of a decrypted Initial that the front end uses."""
 
-    crypto: list[tuple[int, bytes]] = field(default_factory=list)  # offset and octets of TLS
-    close_code: int | None = None  # the code of a CONNECTION_CLOSE
+    crypto: list[tuple[int, bytes]] = field(default_factory=list)  # offset and data of each CRYPTO frame
+    close_code: int | None = None  # the error code of a CONNECTION_CLOSE
 
 
 class InitialKeys:
-    """The keys of both sides that a client-chosen id gives, for each version in use."""
+    """The Initial keys of client and server that derive from a connection ID, for each version in use."""
 
     __slots__ = ("_pairs", "dcid")
 
     def __init__(self, dcid: bytes) -> None:
+        """Derive keys from `dcid` when they are first used."""
         self.dcid = dcid
         self._pairs: dict[int, CryptoPair] = {}
 
     def decrypt(self, packet: Packet, from_client: bool) -> InitialFrames | None:
-        """The frames of an Initial; None where it does not open or holds what no Initial may."""
+        """Return an Initial's frames; None if it is not authentic or holds a frame that no Initial may hold."""
         if packet.type is not QuicPacketType.INITIAL:
             return None
         try:
@@ -56,12 +60,19 @@
         return pair.recv if from_client else pair.send
 
     def encode_close(self, version: int, client_scid: bytes, code: int, reason: bytes) -> bytes:
-        """A server's Initial that closes a connection that has not begun (RFC 9000, 10.2.3)."""
+        """Return a server's Initial that closes a connection before its handshake (RFC 9000, 10.2.3).
+
+        Args:
+            version: the QUIC version of the client's Initial.
+            client_scid: the client's connection ID.
+            code: the transport error code.
+            reason: the reason phrase.
+        """
         frame = bytes([CONNECTION_CLOSE]) + encode_uint_var(code) + b"\x00" + encode_uint_var(len(reason)) + reason
-        number_length, tag = 2, 16
-        length = number_length + len(frame) + tag
+        packet_number_bytes, tag_bytes = 2, 16
+        length = packet_number_bytes + len(frame) + tag_bytes
         header = (
-            bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, number_length - 1)])
+            bytes([encode_long_header_first_byte(version, QuicPacketType.INITIAL, packet_number_bytes - 1)])
             + version.to_bytes(4, "big")
             + bytes([len(client_scid)])
             + client_scid
@@ -69,35 +80,41 @@
             + self.dcid
             + b"\x00"
             + (length | 0x4000).to_bytes(2, "big")
-            + bytes(number_length)
+            + bytes(packet_number_bytes)
         )
         return self._crypto_context(version, from_client=False).encrypt_packet(header, frame, 0)
 
 
 def _read_frames(payload: bytes) -> InitialFrames:
-    """RFC 9000, 12.4 and table 3: what an Initial may hold. Anything else raises `ValueError`."""
+    """Read the payload of an Initial.
+
+    Raises:
+        ValueError: it holds no frame, too many frames, or one that is not allowed in an Initial (RFC 9000, 12.4 and
+            table 3).
+        BufferReadError: a frame is cut off.
+    """
     if not payload:
-        raise ValueError("no frame")
+        raise ValueError("the payload has no frame")
     frames, buf, count = InitialFrames(), Buffer(data=payload), 0
     while not buf.eof():
-        kind = buf.pull_uint_var()
-        if kind in (PADDING, PING):
+        frame_type = buf.pull_uint_var()
+        if frame_type in (PADDING, PING):
             continue
         if (count := count + 1) > MAX_FRAMES:
-            raise ValueError("too many frames")
-        if kind in (ACK, ACK_ECN):
+            raise ValueError("the payload has too many frames")
+        if frame_type in (ACK, ACK_ECN):
             pull_ack_frame(buf)
-            if kind == ACK_ECN:
+            if frame_type == ACK_ECN:
                 for _ in range(3):
                     buf.pull_uint_var()
-        elif kind == CRYPTO:
+        elif frame_type == CRYPTO:
             offset = buf.pull_uint_var()
             if data := buf.pull_bytes(buf.pull_uint_var()):
                 frames.crypto.append((offset, data))
-        elif kind == CONNECTION_CLOSE:
+        elif frame_type == CONNECTION_CLOSE:
             frames.close_code = buf.pull_uint_var()
             buf.pull_uint_var()
             buf.pull_bytes(buf.pull_uint_var())
         else:
-            raise ValueError("a frame that no Initial holds")
+            raise ValueError("the frame type is not allowed in an Initial")
     return frames
--- a/aspensaddle/frontends/quic/packets.py
+++ b/aspensaddle/frontends/quic/packets.py
@@ -1,4 +1,8 @@
-"""QUIC packets as a balancer sees them: the invariants of RFC 8999, the headers of RFC 9000 (17) and 9369 (3.2)."""
+"""Packet headers as a load balancer sees them.
+
+These are the version-independent properties (invariants) of RFC 8999 and the headers of RFC 9000 (17) and RFC 9369
+(3.2).
+"""
 
 from __future__ import annotations
 
@@ -16,29 +20,34 @@
 )
 
 SUPPORTED_VERSIONS = (QuicProtocolVersion.VERSION_1, QuicProtocolVersion.VERSION_2)
-MIN_INITIAL_DATAGRAM_BYTES = 1200  # octets at least of a datagram with a client's Initial
-MIN_STATELESS_RESET_BYTES = 21  # octets of a stateless reset
-MIN_CLIENT_CHOSEN_DCID_BYTES = 8  # octets of an id that a client makes up (RFC 9000, 7.2)
-MAX_PACKETS_PER_DATAGRAM = 8  # in a datagram
+MIN_INITIAL_DATAGRAM_BYTES = 1200  # size of a datagram with a client's Initial
+MIN_STATELESS_RESET_BYTES = 21
+MIN_CLIENT_CHOSEN_DCID_BYTES = 8  # length of a Destination Connection ID that a client chooses (RFC 9000, 7.2)
+MAX_PACKETS_PER_DATAGRAM = 8
 
 
 class MalformedPacketError(Exception):
-    """A datagram that is no QUIC."""
+    """A datagram is not a valid QUIC datagram."""
 
 
 @dataclass(slots=True)
 class InvariantHeader:
-    """What RFC 8999 says of a datagram's first packet, for every version there will be."""
+    """The header fields of a datagram's first packet that are the same in every QUIC version (RFC 8999)."""
 
     long: bool
     version: int
-    dcid: bytes  # with a short header: all that follows the first octet
+    dcid: bytes  # with a short header: everything after the first byte
     scid: bytes
 
 
 def parse_invariants(data: bytes) -> InvariantHeader:
+    """Return the version-independent header of a datagram's first packet.
+
+    Raises:
+        MalformedPacketError: the datagram is empty or ends within its header.
+    """
     if not data:
-        raise MalformedPacketError("empty")
+        raise MalformedPacketError("the datagram is empty")
     if not data[0] & 0x80:
         return InvariantHeader(False, 0, data[1:], b"")
     buf = Buffer(data=data)
@@ -48,13 +57,13 @@
         dcid = buf.pull_bytes(buf.pull_uint8())
         scid = buf.pull_bytes(buf.pull_uint8())
     except BufferReadError:
-        raise MalformedPacketError("cut short") from None
+        raise MalformedPacketError("the datagram ends within its long header") from None
     return InvariantHeader(True, version, dcid, scid)
 
 
 @dataclass(slots=True)
 class Packet:
-    """One long-header packet of a known version."""
+    """A long-header packet of a supported version. `data` is the whole packet."""
 
     type: QuicPacketType
     version: int
@@ -62,10 +71,10 @@
     scid: bytes
     token: bytes
     data: bytes
-    protected_offset: int  # where the protected part begins
+    protected_offset: int  # where the protected part of `data` begins
 
     def is_retry_for(self, dcid: bytes) -> bool:
-        """Whether this is a Retry whose sender has seen the Initial sent to that id."""
+        """Return whether this is a Retry whose sender has seen the Initial sent to that connection ID."""
         try:
             tag = get_retry_integrity_tag(self.data[:-16], dcid, version=self.version)
         except (CryptoError, ValueError):
@@ -74,7 +83,7 @@
 
 
 def parse_long_header_packets(data: bytes) -> list[Packet]:
-    """The long-header packets at the start of a datagram. What can't be read ends the list."""
+    """Return the long-header packets at the start of a datagram, up to the first that cannot be parsed."""
     packets: list[Packet] = []
     while data and data[0] & 0x80 and len(packets) < MAX_PACKETS_PER_DATAGRAM:
         buf = Buffer(data=data)
@@ -100,38 +109,49 @@
     return packets
 
 
-def encode_version_negotiation(seen: InvariantHeader) -> bytes:
+def encode_version_negotiation(header: InvariantHeader) -> bytes:
+    """Return a Version Negotiation packet that answers a packet with this header."""
     return encode_quic_version_negotiation(
-        source_cid=seen.dcid, destination_cid=seen.scid, supported_versions=[int(v) for v in SUPPORTED_VERSIONS]
+        source_cid=header.dcid,
+        destination_cid=header.scid,
+        supported_versions=[int(v) for v in SUPPORTED_VERSIONS],
     )
 
 
-def encode_stateless_reset(token: bytes, trigger: int) -> bytes | None:
-    """A reset smaller than the datagram that calls for it, so that two of its kind can't answer each other
-    for ever; None where there is no room.
+def encode_stateless_reset(token: bytes, trigger_bytes: int) -> bytes | None:
+    """Return a stateless reset for a datagram of `trigger_bytes` bytes; None if that is too small.
+
+    The reset is smaller than the datagram, so that two endpoints cannot answer each other's resets for ever.
     """
-    size = min(trigger - 1, 42)
+    size = min(trigger_bytes - 1, 42)
     if size < MIN_STATELESS_RESET_BYTES:
         return None
-    noise = bytearray(os.urandom(size - len(token)))
-    noise[0] = noise[0] & 0x3F | 0x40
-    return bytes(noise) + token
+    random_bytes = bytearray(os.urandom(size - len(token)))
+    random_bytes[0] = random_bytes[0] & 0x3F | 0x40
+    return bytes(random_bytes) + token
 
 
 def is_version_negotiation_for(data: bytes, version: int, dcid: bytes, scid: bytes) -> bool:
-    """Whether a server's datagram is a Version Negotiation for the client's Initial that had these fields: the
-    ids come back the other way round and the version is not among those offered (RFC 9000, 6.2).
+    """Return whether a server's datagram is a valid Version Negotiation for a client's Initial.
+
+    It swaps the Initial's connection IDs, and its versions do not include that of the Initial (RFC 9000, 6.2).
+
+    Args:
+        data: the server's datagram.
+        version: the version of the Initial.
+        dcid: the Destination Connection ID of the Initial.
+        scid: the Source Connection ID of the Initial.
     """
     try:
-        seen = parse_invariants(data)
+        header = parse_invariants(data)
     except MalformedPacketError:
         return False
-    offered = data[7 + len(seen.dcid) + len(seen.scid) :]
-    versions = {int.from_bytes(offered[i : i + 4], "big") for i in range(0, len(offered) - 3, 4)}
+    version_list = data[7 + len(header.dcid) + len(header.scid) :]
+    versions = {int.from_bytes(version_list[i : i + 4], "big") for i in range(0, len(version_list) - 3, 4)}
     return (
-        seen.long
-        and seen.version == 0
-        and (seen.dcid, seen.scid) == (scid, dcid)
+        header.long
+        and header.version == 0
+        and (header.dcid, header.scid) == (scid, dcid)
         and bool(versions)
         and version not in versions
     )
--- a/aspensaddle/frontends/quic/path_table.py
+++ b/aspensaddle/frontends/quic/path_table.py
@@ -1,4 +1,4 @@
-"""The paths that are open: found by what comes back on them, given up when descriptors run short."""
+"""Open paths: looked up when a server's datagram arrives, and evicted when file descriptors run short."""
 
 from __future__ import annotations
 
@@ -8,39 +8,45 @@
 from aspensaddle.frontends.quic.session import ClientAddress, Path, ServerAddress, Session
 from aspensaddle.frontends.quic.socket_slots import SocketSlots
 
-SLOT_QUARANTINE_SECONDS = 3.0  # seconds before an address towards a runner is another client's
-MIN_EVICTION_IDLE_SECONDS = 1.0  # a path that passed something so lately is not given up for another
-MAX_EVICTION_CANDIDATES = 16  # paths looked at, of those opened longest ago
-MAX_PATHS_PER_SESSION = 4  # paths that one session may have
+SLOT_QUARANTINE_SECONDS = 3.0  # before a slot represents another client at the same server
+MIN_EVICTION_IDLE_SECONDS = 1.0  # a path that was used more recently is not evicted
+MAX_EVICTION_CANDIDATES = 16  # paths examined per eviction, starting with the oldest
+MAX_PATHS_PER_SESSION = 4
 
 
 class PathTable:
+    """The open paths of all sessions, and the socket slots that they use."""
+
     def __init__(self, context: Context) -> None:
+        """Start without paths."""
         self.context = context
         self.count = 0
         self._slots: SocketSlots[ServerAddress] = SocketSlots(context.settings.most_sockets, SLOT_QUARANTINE_SECONDS)
-        # By the runner's address and the socket's number, those opened or looked at longest ago first.
+        # Paths by server address and slot; those opened or examined for eviction longest ago come first.
         self._by_server_address: dict[ServerAddress, OrderedDict[int, Path]] = {}
-        self._by_client: dict[tuple[ClientAddress, int], Path] = {}  # and by the client's address and the server
+        # The latest path for each client address and server
+        self._by_client: dict[tuple[ClientAddress, int], Path] = {}
 
     def configure(self) -> None:
+        """Use the number of sockets in the settings in force."""
         self._slots.resize(self.context.settings.most_sockets)
 
     def find_path_by_slot(self, slot: int, server_address: ServerAddress) -> Path | None:
-        """The path on which a runner's datagram came."""
+        """Return the path on which a server's datagram arrived, or None if it is closed."""
         table = self._by_server_address.get(server_address)
         return None if table is None else table.get(slot)
 
     def find_path(self, client_address: ClientAddress, server: int) -> Path | None:
-        """The path last opened between a client's address and a runner."""
+        """Return the latest path between a client's address and a server, or None."""
         return self._by_client.get((client_address, server))
 
     def address_of(self, server: int) -> ServerAddress | None:
+        """Return the address to send a server's datagrams to, or None if it has left the endpoint list."""
         known = self.context.endpoints.addresses.get(server)
         return None if known is None else (known[0], self.context.settings.runner_port or known[1])
 
     def open(self, session: Session, server: int, client_address: ClientAddress) -> Path | None:
-        """A path to a runner, or None where the runner has left or none is to be had."""
+        """Open a path to a server; None if the server has left or no slot is available."""
         server_address = self.address_of(server)
         if server_address is None:
             return None
@@ -56,19 +62,19 @@
 
     def _take_slot(self, server_address: ServerAddress) -> int | None:
         slot = self._slots.acquire(server_address, self.context.now)
-        if slot is None and (old := self._find_most_idle(server_address)) is not None:
-            # Guards against running out of descriptors: its session goes on, its next datagram opens a path.
-            # It needs no rest: the runner has nothing to say to one that has been idle.
+        if slot is None and (evicted := self._find_most_idle(server_address)) is not None:
+            # File descriptors are short. The evicted session goes on: its next datagram opens a new path. The slot
+            # needs no quarantine, because the server has nothing left to send on an idle path.
             self.context.counters.add("quic paths evicted")
-            slot = old.slot
-            self._unlink(old)
+            slot = evicted.slot
+            self._unlink(evicted)
         if slot is not None and not self.context.transport.open_socket(slot):
             self._slots.release(server_address, slot, self.context.now)
             return None
         return slot
 
     def _find_most_idle(self, server_address: ServerAddress) -> Path | None:
-        """Of some paths opened long ago the one idle for longest, if that is long; the others go to the back."""
+        """Return the most idle of the oldest paths, if it may be evicted, and move those paths to the end."""
         table = self._by_server_address.get(server_address, OrderedDict())
         found: Path | None = None
         for _ in range(min(MAX_EVICTION_CANDIDATES, len(table))):
@@ -80,11 +86,17 @@
         return found
 
     def close(self, path: Path, quarantine_seconds: float | None = None) -> None:
-        """Give a path up. `rest`: seconds before its socket serves another there, where the usual is too long."""
+        """Close a path, unless it is closed already.
+
+        Args:
+            path: the path.
+            quarantine_seconds: time before its slot is used for the same server again; None for the usual time.
+        """
         if self._unlink(path):
             self._slots.release(path.server_address, path.slot, self.context.now, quarantine_seconds)
 
     def _unlink(self, path: Path) -> bool:
+        """Remove a path from the tables and its session; return False if it was not in them."""
         table = self._by_server_address.get(path.server_address)
         if table is None or table.get(path.slot) is not path:
             return False
@@ -103,8 +115,8 @@
         return True
 
     def forget_gone_servers(self) -> None:
-        """Forget what runners had that are gone, by address, and have no path open any more."""
-        here = {self.address_of(server) for server in self.context.endpoints.addresses}
+        """Drop the slot data of server addresses that are not in the endpoint list and have no open path."""
+        listed = {self.address_of(server) for server in self.context.endpoints.addresses}
         for server_address in self._slots.servers():
-            if server_address not in here and server_address not in self._by_server_address:
+            if server_address not in listed and server_address not in self._by_server_address:
                 self._slots.forget(server_address)
--- a/aspensaddle/frontends/quic/retry_tokens.py
+++ b/aspensaddle/frontends/quic/retry_tokens.py
@@ -1,17 +1,18 @@
-"""Retry tokens that every balancer and runner with the key file can check: sealing, checking, the keys.
+"""Retry tokens that every balancer and server with the key file can check.
 
-In the manner of the shared-state service of draft-ietf-quic-retry-offload: a key sequence and a unique number in
-the clear, the rest sealed with AES-128-GCM. There, the client's address is associated data; here it is sealed with
-the rest, since a runner behind the front sees the balancer's address and must still read the ids. Free of I/O and
-time.
+They follow the shared-state service of draft-ietf-quic-retry-offload: a key sequence and a unique token number in
+plaintext, the rest encrypted with AES-128-GCM. In the draft, the client's address is associated data. Here it is
+encrypted with the rest, because a server behind the front end sees the balancer's address and still has to read the
+connection IDs. No I/O; callers pass the current time.
 
-    octet 0      0x80 (of this service) and the key's sequence, 0 to 127
-    1 to 12      unique token number, the nonce
-    13 onwards   sealed: two lengths, the client's port and address (16 octets), the id that it made up, the id that
-                 the Retry gave, Unix time in milliseconds; the tag
+    byte 0       0x80 (marks a token of this service) and the key sequence, 0 to 127
+    1 to 12      unique token number, used as the nonce
+    13 onwards   encrypted: the lengths of both connection IDs, the client's port and address (16 bytes), the
+                 connection ID that the client chose, the one that the Retry gave, Unix time in milliseconds; then
+                 the tag
 
-Runners that issue NEW_TOKEN tokens of their own are told apart by authentication alone: what no key here opens
-is treated as though the client had brought no token (RFC 9000, 8.1.3).
+Servers may issue NEW_TOKEN tokens of their own. They are told apart by authentication alone: a token that no key here
+decrypts is treated as if the client had sent none (RFC 9000, 8.1.3).
 """
 
 from __future__ import annotations
@@ -29,36 +30,39 @@
 SERVICE_FLAG = 0x80
 MAX_KEY_SEQUENCE = 127
 NONCE_BYTES, TAG_BYTES, KEY_BYTES = 12, 16, 16
-HEADER = struct.Struct("!BBH16s")  # lengths of both ids, the client's port and address
+HEADER = struct.Struct("!BBH16s")  # lengths of both connection IDs, the client's port and address
 TIMESTAMP = struct.Struct("!Q")
 MIN_TOKEN_BYTES = 1 + NONCE_BYTES + HEADER.size + TIMESTAMP.size + TAG_BYTES
-MAX_CLOCK_SKEW_SECONDS = 5.0  # seconds that the clocks of two balancers may differ
+MAX_CLOCK_SKEW_SECONDS = 5.0  # difference between the clocks of two balancers
 
 
 class TokenVerdict(Enum):
-    """What a token is worth."""
+    """The result of checking a token. The values are part of counter names."""
 
     VALID = "valid"
-    ABSENT = "none"  # none at all, a runner's own, forged or cut: as though there were none
+    ABSENT = "none"  # no token, a server's own, forged or cut off: all are treated as no token
     EXPIRED = "expired"
-    WRONG_ADDRESS = "elsewhere"  # genuine, but for another address
-    WRONG_CONNECTION_ID = "misplaced"  # genuine, but its Initial is sent to another id than the Retry gave
+    WRONG_ADDRESS = "elsewhere"  # genuine, but issued to another client address
+    WRONG_CONNECTION_ID = "misplaced"  # genuine, but in an Initial to another connection ID than the Retry gave
 
 
 @dataclass(frozen=True, slots=True)
 class TokenContents:
-    """What a genuine token says."""
+    """The decrypted contents of a genuine token."""
 
-    original_dcid: bytes  # the id that the client made up first
-    retry_scid: bytes  # the id that the Retry gave
+    original_dcid: bytes  # the connection ID that the client chose first
+    retry_scid: bytes  # the connection ID that the Retry gave
     issued_at: float  # Unix time in seconds
     port: int
-    address: bytes  # 16 octets
+    address: bytes  # 16 bytes
 
 
 @dataclass(frozen=True, slots=True)
 class TokenKey:
-    """One key of the file. `since` and `until` are Unix times in seconds."""
+    """A key of the key file, in force from `since` until `until`, Unix times in seconds.
+
+    A value out of range raises a `ValueError` that names the field.
+    """
 
     sequence: int
     secret: bytes = field(repr=False)
@@ -66,30 +70,49 @@
     until: float = float("inf")
 
     def __post_init__(self) -> None:
+        """Check the fields."""
         if not 0 <= self.sequence <= MAX_KEY_SEQUENCE:
             raise ValueError(f"sequence must be 0 to {MAX_KEY_SEQUENCE}, not {self.sequence}")
         if len(self.secret) != KEY_BYTES:
-            raise ValueError(f"key must be {KEY_BYTES} octets")
+            raise ValueError(f"key must be {KEY_BYTES} bytes")
         if not self.since < self.until:
             raise ValueError("until must be later than since")
 
 
 class RetryTokens:
-    """Seals and checks tokens with the keys in force. The key that came into force last seals; each opens until
-    its end, so that a key can be rolled without a client noticing.
+    """Encrypts and checks tokens.
+
+    The key that came into force last encrypts. Every key decrypts until the tokens that it encrypted have expired, so
+    that keys are rotated without an effect on clients.
     """
 
     def __init__(self, keys: Iterable[TokenKey], lifetime_seconds: float) -> None:
-        """`lifetime_seconds` is that of a token. Raises `ValueError` where two keys have one number."""
+        """Use these keys.
+
+        Args:
+            keys: the keys, each with a sequence of its own.
+            lifetime_seconds: how long a token is valid.
+
+        Raises:
+            ValueError: two keys have the same sequence.
+        """
         self.lifetime_seconds = lifetime_seconds
         self._keys: dict[int, tuple[TokenKey, AESGCM]] = {}
         for key in keys:
             if key.sequence in self._keys:
-                raise ValueError(f"sequence {key.sequence} is there twice")
+                raise ValueError(f"sequence {key.sequence} is used twice")
             self._keys[key.sequence] = key, AESGCM(key.secret)
 
     def seal(self, host: str, port: int, original_dcid: bytes, retry_scid: bytes, unix_time: float) -> bytes | None:
-        """A token for a client's address, or None while no key is in force."""
+        """Return a token, or None if no key is in force.
+
+        Args:
+            host: the client's IP address.
+            port: the client's port.
+            original_dcid: the connection ID that the client chose first.
+            retry_scid: the connection ID that the Retry gives.
+            unix_time: the current Unix time in seconds.
+        """
         ready = [k for k, _ in self._keys.values() if k.since <= unix_time < k.until]
         if not ready:
             return None
@@ -104,8 +127,10 @@
         return head + self._keys[key.sequence][1].encrypt(head[1:], body, head)
 
     def unseal(self, token: bytes, unix_time: float) -> TokenContents | None:
-        """What a genuine token says; None where none of the keys in force has sealed it. A runner behind the front
-        asks this: the ids are for its transport parameters (RFC 9000, 7.3), the address was checked before it.
+        """Return a token's contents, or None if no key in force at this Unix time in seconds decrypts it.
+
+        A server behind the front end calls this for its transport parameters, which hold the connection IDs
+        (RFC 9000, 7.3). It does not check the address; the front end has done so.
         """
         if len(token) < MIN_TOKEN_BYTES or not token[0] & SERVICE_FLAG:
             return None
@@ -120,16 +145,24 @@
             body = known[1].decrypt(head[1:], token[1 + NONCE_BYTES :], head)
         except InvalidTag:
             return None
-        first, second, port, address = HEADER.unpack_from(body)
-        if len(body) != HEADER.size + first + second + TIMESTAMP.size:
+        original_length, retry_length, port, address = HEADER.unpack_from(body)
+        if len(body) != HEADER.size + original_length + retry_length + TIMESTAMP.size:
             return None
-        ids, (at,) = body[HEADER.size : -TIMESTAMP.size], TIMESTAMP.unpack(body[-TIMESTAMP.size :])
-        return TokenContents(ids[:first], ids[first:], at / 1000, port, address)
+        cids, (issued_at,) = body[HEADER.size : -TIMESTAMP.size], TIMESTAMP.unpack(body[-TIMESTAMP.size :])
+        return TokenContents(cids[:original_length], cids[original_length:], issued_at / 1000, port, address)
 
     def check(
         self, token: bytes, host: str, port: int, dcid: bytes, unix_time: float
     ) -> tuple[TokenVerdict, TokenContents | None]:
-        """What a token in an Initial to `dcid` from an address is worth at a Unix time."""
+        """Check the token of an Initial; return the verdict and, if the token is genuine, its contents.
+
+        Args:
+            token: the token.
+            host: the IP address that the Initial came from.
+            port: the port that it came from.
+            dcid: the connection ID that it was sent to.
+            unix_time: the current Unix time in seconds.
+        """
         contents = self.unseal(token, unix_time)
         if contents is None:
             return TokenVerdict.ABSENT, None
@@ -143,6 +176,6 @@
 
 
 def _address_bytes(host: str) -> bytes:
-    """An address as 16 octets, those of version 4 mapped into version 6."""
+    """Return an IP address as 16 bytes; an IPv4 address is mapped into IPv6."""
     address = ipaddress.ip_address(host.partition("%")[0])
     return address.packed if address.version == 6 else b"\0" * 10 + b"\xff\xff" + address.packed
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -1,6 +1,7 @@
-"""A client's session and the paths that it has. Values only: who moves them stands in the modules beside.
+"""Data of a client's session and of its paths; other modules change them.
 
-A session is kept small: what only its placement needs is in `SetupState`, which goes once it stands.
+An established session is kept small: the data that only its setup needs is in `SetupState`, which is dropped when the
+session is established.
 """
 
 from __future__ import annotations
@@ -12,32 +13,34 @@
 from aspensaddle.core.events import Outcome
 from aspensaddle.frontends.quic.flight import Flight
 
-ClientAddress = tuple[str, int]  # an address of a client, as the socket tells it
-ServerAddress = tuple[str, int]  # an address of a runner
+ClientAddress = tuple[str, int]  # host and port of a client, as the socket reports them
+ServerAddress = tuple[str, int]  # host and port of a server
 
-AMPLIFICATION_FACTOR = 3  # octets sent for each that came, before an address is proven (RFC 9000, 8.1)
-PATH_PROBE_BYTES = 1200  # octets of a datagram that probes a path, and of its reply (RFC 9000, 8.2.1)
-MIN_VALIDATING_ROUND_TRIPS = 3  # times that a client has replied to what it was sent
+AMPLIFICATION_FACTOR = 3  # bytes that may be sent per byte received from an unvalidated address (RFC 9000, 8.1)
+PATH_PROBE_BYTES = 1200  # size of a datagram with a PATH_CHALLENGE, and of the response to it (RFC 9000, 8.2.1)
+MIN_VALIDATING_ROUND_TRIPS = 3  # responses to sent datagrams after which a client's address counts as validated
 
 
 @dataclass(slots=True)
 class AmplificationLimit:
-    """How much may be sent to an address that is not proven (RFC 9000, 8.1).
+    """Limits the bytes sent to an address that is not validated (RFC 9000, 8.1).
 
-    In a handshake the proof is the id that the runner gave, which comes back from nowhere else. The front can't
-    read a PATH_RESPONSE, so a client's later address counts as proven when it has sent a whole datagram after it
-    was sent one, as path validation does, or has replied several times. The runner, which can, keeps its own
-    limit (RFC 9000, 9.3.1); this one binds where a runner does not.
+    During a handshake, the address is validated by a datagram to the connection ID that the server issued: only a
+    client that received it can use it. The front end cannot decrypt a PATH_RESPONSE, so a later address of a client
+    counts as validated when it has sent a full-size datagram after one was sent to it, as path validation does, or
+    has responded several times. A server can decrypt it and applies its own limit (RFC 9000, 9.3.1); this one takes
+    effect where a server does not.
     """
 
     remaining_bytes: int = 0
-    validating_cid: bytes | None = None  # the id that proves it; b"" while it is not known; None: no id does
-    probe_sent: bool = False  # a whole datagram was sent to it
-    sent_since_received: bool = False  # something was sent since it was last heard
+    # The connection ID that validates the address; b"" while it is unknown; None if no connection ID does.
+    validating_cid: bytes | None = None
+    probe_sent: bool = False  # whether a full-size datagram was sent to the address
+    sent_since_received: bool = False  # whether a datagram was sent since one was last received
     round_trips: int = 0
 
     def record_received(self, size: int, dcid: bytes) -> bool:
-        """Note what came from the address, to an id; whether it is proven by that."""
+        """Record a datagram of `size` bytes to `dcid`; return whether it validates the address."""
         self.remaining_bytes += AMPLIFICATION_FACTOR * size
         if self.validating_cid is not None:
             return bool(dcid) and dcid == self.validating_cid
@@ -46,7 +49,7 @@
         return self.round_trips >= MIN_VALIDATING_ROUND_TRIPS or (self.probe_sent and size >= PATH_PROBE_BYTES)
 
     def try_consume(self, size: int) -> bool:
-        """Whether so much may be sent to it."""
+        """Record a datagram of `size` bytes to be sent, or return False if it would exceed the limit."""
         if size > self.remaining_bytes:
             return False
         self.remaining_bytes -= size
@@ -57,87 +60,92 @@
 
 @dataclass(eq=False, slots=True)
 class Path:
-    """One address of a client, seen by one runner as an address of its own. A client that changes its port gets a
-    new path, and the runner validates it end to end (RFC 9000, 9): nobody on the way could.
+    """A client's address and the address of this balancer that represents it at a server.
+
+    A client that changes its port gets a new path, so that the server sees a new address too and validates it end to
+    end (RFC 9000, 9). No intermediary can do that.
     """
 
     session: Session
     client_address: ClientAddress
     server: int
-    server_address: ServerAddress  # its address
+    server_address: ServerAddress
     slot: int
-    last_used_at: float  # when something last passed
-    dcid: bytes = b""  # the latest routable id on it
-    last_datagram_bytes: int = 0  # of the client's latest datagram
+    last_used_at: float  # when a datagram last passed in either direction, in seconds of the context's clock
+    dcid: bytes = b""  # the latest routable connection ID that the client used on it
+    last_datagram_bytes: int = 0  # size of the client's latest datagram
     amplification_limit: AmplificationLimit | None = field(
         default_factory=AmplificationLimit
-    )  # None once its address is proven
+    )  # None once the client's address is validated
 
 
 class SetupStage(Enum):
-    """Where a session's placement is."""
+    """The stage of a session's setup."""
 
-    CLIENT_HELLO_INCOMPLETE = "hello"  # its ClientHello is not whole
-    AWAITING_DECISION = "asked"  # the module has its request
-    ATTEMPTING = "trying"  # an attempt is out
+    CLIENT_HELLO_INCOMPLETE = "hello"
+    AWAITING_DECISION = "asked"  # the balancer has the request, and no attempt is in progress
+    ATTEMPTING = "trying"
 
 
 @dataclass(eq=False, slots=True)
 class SetupState:
-    """What a session has until it stands."""
+    """The data that a session needs until it is established."""
 
     flight: Flight
     version: int
-    dcid: bytes  # the id that the client's Initials go to, whose keys they have
+    dcid: bytes  # the connection ID that the client's Initials go to; their keys derive from it
     scid: bytes
     started_at: float
-    original_dcid: bytes  # the id that the client made up first
+    original_dcid: bytes  # the connection ID that the client chose first
     client_address: ClientAddress
-    amplification_limit: AmplificationLimit | None = None  # None where the address is proven, by a token
+    amplification_limit: AmplificationLimit | None = None  # None if a token has validated the address
     stage: SetupStage = SetupStage.CLIENT_HELLO_INCOMPLETE
     class_index: int = 0
-    path: Path | None = None  # of the attempt that is out
-    bound_to_server: bool = False  # a runner has sent a Retry or a Version Negotiation: it is that runner's now
-    early_replies: list[bytes] = field(default_factory=list)  # from the runner, before its reply has shown itself
+    path: Path | None = None  # of the attempt in progress
+    bound_to_server: bool = False  # a server sent a Retry or Version Negotiation, so no other can continue
+    early_replies: list[bytes] = field(default_factory=list)  # server datagrams held until one is authenticated
     attempts: int = 0
-    timer_id: int = 0  # the number of the one that counts
+    timer_id: int = 0  # the timer in force; others that were started before it are ignored
 
 
 @dataclass(eq=False, slots=True)
 class Session:
-    """A client's session, from its first datagram on. Owns its request at the driver."""
+    """A client's session from its first datagram on. Handles its request's actions for the driver."""
 
     id: str
-    pending_actions: list[tuple[Session, RequestAction]]  # where what the module decides is noted down
-    server: int = -1  # once it stands
+    pending_actions: list[tuple[Session, RequestAction]]  # shared by all sessions, in the order of the decisions
+    server: int = -1  # set when the session is established
     setup: SetupState | None = None
-    path: Path | None = None  # the one last used by the client
-    other_paths: list[Path] | None = None  # those before, oldest first
-    cids: tuple[bytes, ...] = ()  # the latest routable ones
+    path: Path | None = None  # the path that the client used last
+    other_paths: list[Path] | None = None  # earlier paths, oldest first
+    cids: tuple[bytes, ...] = ()  # the latest connection IDs that the server issued, oldest first
     last_active_at: float = 0.0
-    first_unanswered_at: float = 0.0  # the first datagram since the runner's last
+    first_unanswered_at: float = 0.0  # when the client sent its first datagram since the server's latest
     unanswered_datagrams: int = 0
-    bytes_from_server: int = 0  # octets of the runner, counted until it is sure that the session is one
-    server_has_replied: bool = False  # its runner has spoken since it stands here
+    bytes_from_server: int = 0  # counted until an adopted session is confirmed
+    server_has_replied: bool = False  # since this process established or adopted the session
     migrating: bool = False
-    by_address: bool = False  # its runner's ids can't be read: its address has to do
+    by_address: bool = False  # the server's connection IDs are not routable: found by the client's address
     ended: bool = False
 
     def act(self, action: RequestAction) -> None:
+        """Queue an action that the balancer decided for the session's request."""
         self.pending_actions.append((self, action))
 
     def client_is_connected(self) -> bool:
-        return True  # a datagram's sender can't be seen to leave
+        """Return True: with datagrams, a client that left cannot be told from a silent one."""
+        return True
 
     def all_paths(self) -> list[Path]:
+        """Return the session's paths, the one in use first."""
         found = [] if self.path is None else [self.path]
         return found + (self.other_paths or [])
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnd:
-    """How a session that stood has ended."""
+    """How an established session ended. `note` is the reason in the log."""
 
     outcome: Outcome
-    send_reset: bool  # the client is told, so that it comes again at once
+    send_reset: bool  # whether the client is sent a stateless reset, so that it reconnects at once
     note: str
--- a/aspensaddle/frontends/quic/session_rules.py
+++ b/aspensaddle/frontends/quic/session_rules.py
@@ -1,7 +1,8 @@
-"""Class and group of a session from what its ClientHello asks for. Free of I/O and time.
+"""Rules that assign a request class and a session group to a session by its ClientHello. No I/O and no clock.
 
-The operator's rules are tried in their order; the first that fits decides. A session without a name that can be
-used, and one that hides its own (ECH), has the default class and no group.
+The first rule that matches, in the order of the operator's file, decides. A session without a usable server name
+matches only rules without `sni`. One that hides its server name (ECH) matches none, so that it gets the default class
+and no group.
 """
 
 from __future__ import annotations
@@ -22,70 +23,82 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRule:
-    """One rule: what it asks for, and what follows."""
+    """One rule: the conditions on a ClientHello, and the class and group of sessions that meet them."""
 
-    names: tuple[str, ...] = ()  # exact, or `*.` and a suffix for any number of labels before it
-    alpn: tuple[str, ...] = ()  # one of these is offered
-    class_index: int | None = None  # None: the default class
-    group_label: int | None = None  # the label of the name that is the group; 0: the first, -1: the last
-    group_token: re.Pattern[str] | None = None  # its one bracket is the group
-    group_from_alpn: bool = False  # the token is looked for in the protocols, not in the name
+    server_names: tuple[str, ...] = ()  # exact names, or `*.` and a suffix for any number of labels before it
+    alpn: tuple[str, ...] = ()  # protocols of which the client has to offer one
+    class_index: int | None = None  # None for the default class
+    group_label: int | None = None  # index of the group in the server name's labels; 0: first, -1: last
+    group_token: re.Pattern[str] | None = None  # pattern whose only capturing group is the session group
+    group_from_alpn: bool = False  # the pattern is applied to the protocols, not to the server name
 
     def matches(self, client_hello: ClientHello) -> bool:
-        if self.names and not any(_name_matches(client_hello.server_name, n) for n in self.names):
+        """Return whether a ClientHello meets the conditions."""
+        if self.server_names and not any(_name_matches(client_hello.server_name, n) for n in self.server_names):
             return False
         return not self.alpn or any(p in self.alpn for p in client_hello.alpn)
 
     def group(self, client_hello: ClientHello) -> str | None:
-        """The group's label or token; None where there is none."""
+        """Return the session group that the ClientHello gives, or None."""
         if self.group_label is not None:
             labels = client_hello.server_name.split(".") if client_hello.server_name else []
-            inside = -len(labels) <= self.group_label < len(labels)
-            return labels[self.group_label] if inside else None
+            has_label = -len(labels) <= self.group_label < len(labels)
+            return labels[self.group_label] if has_label else None
         if self.group_token is not None:
-            for text_ in client_hello.alpn if self.group_from_alpn else (client_hello.server_name,):
-                if m := self.group_token.search(text_[:255]):
+            for source in client_hello.alpn if self.group_from_alpn else (client_hello.server_name,):
+                if m := self.group_token.search(source[:255]):
                     return m[1] or None
         return None
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRules:
-    default_class_index: int  # the class's number in the settings
+    """The rules in their order, and the class of sessions that none gives a class."""
+
+    default_class_index: int
     rules: tuple[SessionRule, ...] = ()
 
     @property
     def need_client_hello(self) -> bool:
-        """Whether the ClientHello has to be whole before a session can be placed."""
+        """Whether a session can be classified only when its ClientHello is complete."""
         return bool(self.rules)
 
     def classify(self, client_hello: ClientHello) -> tuple[int, str | None]:
-        """Class and group of a session."""
+        """Return the class index and the session group of a session."""
         if not client_hello.encrypted:
             for rule in self.rules:
                 if rule.matches(client_hello):
-                    return self.default_class_index if rule.class_index is None else rule.class_index, rule.group(
+                    return (self.default_class_index if rule.class_index is None else rule.class_index), rule.group(
                         client_hello
                     )
         return self.default_class_index, None
 
 
-def _name_matches(name: str, wanted: str) -> bool:
-    return name.endswith(wanted[1:]) and len(name) > len(wanted) - 1 if wanted.startswith("*") else name == wanted
+def _name_matches(name: str, pattern: str) -> bool:
+    return name.endswith(pattern[1:]) and len(name) > len(pattern) - 1 if pattern.startswith("*") else name == pattern
+
+
+def parse_rules(m: Message, classes: Mapping[str, int], default_class_index: int) -> SessionRules:
+    """Parse the `[[rules]]` of the operator's file.
 
+    Args:
+        m: the file's top-level table.
+        classes: class indexes by name.
+        default_class_index: the class of sessions that no rule gives a class.
 
-def parse_rules(m: Message, classes: Mapping[str, int], default: int) -> SessionRules:
-    """The `[[rules]]` of the operator's file. A `DecodeError` names the field."""
+    Raises:
+        DecodeError: a value is not valid; the message starts with the field.
+    """
     values = array(m, "rules", [])
     if len(values) > MAX_RULES:
-        raise DecodeError(f"rules must be {MAX_RULES} at most, not {len(values)}")
+        raise DecodeError(f"rules must have at most {MAX_RULES} entries, not {len(values)}")
     rules = []
     for i, value in enumerate(values):
         try:
             rules.append(_parse_rule(value, classes))
         except DecodeError as e:
             raise DecodeError(f"rules[{i}].{e}") from None
-    return SessionRules(default, tuple(rules))
+    return SessionRules(default_class_index, tuple(rules))
 
 
 def _parse_rule(m: object, classes: Mapping[str, int]) -> SessionRule:
@@ -93,10 +106,10 @@
         raise DecodeError(f"sni: a rule must be a table, not {m!r:.60}")
     if unknown := sorted(set(m) - KEYS):
         raise DecodeError(f"{unknown[0]} is not a setting")
-    names = tuple(n.lower() for n in _strings(m, "sni"))
-    for n in names:
+    server_names = tuple(n.lower() for n in _strings(m, "sni"))
+    for n in server_names:
         if not _NAME.fullmatch(n):
-            raise DecodeError(f"sni must be a host name, also with *. before it, not {n!r:.60}")
+            raise DecodeError(f"sni must be a host name, or *. and a host name, not {n!r:.60}")
     class_index = None
     if "class" in m:
         class_index = classes.get(text(m, "class"))
@@ -107,17 +120,17 @@
         raise DecodeError(f"group_label must be -32 to 31, not {label}")
     token = _pattern(m) if "group_token" in m else None
     if label is not None and token is not None:
-        raise DecodeError("group_token: there is a group_label already; a group comes from one of them")
+        raise DecodeError("group_token cannot be combined with group_label")
     source = m.get("group_from", "sni")
     if source not in ("sni", "alpn") or (source == "alpn" and token is None):
         raise DecodeError("group_from must be sni or, with a group_token, alpn")
     if class_index is None and label is None and token is None:
         raise DecodeError("class: a rule needs a class, a group_label or a group_token")
-    return SessionRule(names, _strings(m, "alpn"), class_index, label, token, source == "alpn")
+    return SessionRule(server_names, _strings(m, "alpn"), class_index, label, token, source == "alpn")
 
 
 def _strings(m: Message, name: str) -> tuple[str, ...]:
-    """A string, or several."""
+    """Return a field that is one string or an array of strings; empty if it is missing."""
     value = m.get(name, [])
     values = value if type(value) is list else [value]
     if any(type(v) is not str or not 0 < len(v) <= 255 for v in values) or (name in m and not values):
@@ -129,10 +142,10 @@
     value = text(m, "group_token")
     try:
         if len(value) > MAX_PATTERN_CHARACTERS:
-            raise re.error(f"over {MAX_PATTERN_CHARACTERS} characters")
+            raise re.error(f"it has more than {MAX_PATTERN_CHARACTERS} characters")
         pattern = re.compile(value)
         if pattern.groups != 1:
-            raise re.error("needs exactly one bracket")
+            raise re.error("it needs exactly one capturing group")
     except re.error as e:
-        raise DecodeError(f"group_token must be a regular expression with one bracket: {e}") from None
+        raise DecodeError(f"group_token must be a regular expression with one capturing group: {e}") from None
     return pattern
--- a/aspensaddle/frontends/quic/session_setup.py
+++ b/aspensaddle/frontends/quic/session_setup.py
@@ -1,7 +1,8 @@
-"""The life of a session from its first Initial until it stands or has its final answer.
+"""Session setup: from a client's first Initial until a server has accepted the session or it has a final response.
 
-Free of I/O. It reads from top to bottom: begin, ask the module, try what it says, hear the runner, stand or go
-on to the next. One attempt is out at a time, and its path is closed before the next one begins.
+No I/O. The methods are in the order of the steps: start, request a decision, attempt what it says, read the server's
+reply, then establish the session or end the attempt. One attempt is in progress at a time, and its path is closed
+before the next one starts.
 """
 
 from __future__ import annotations
@@ -28,20 +29,23 @@
 from aspensaddle.frontends.quic.session_table import SERVER_UNREACHABLE, SessionTable
 from aspensaddle.support.hashing import stable_hash
 
-RESPONSE_MARGIN_SECONDS = 0.03  # of the client's wait, for the answer's way back
-REJECTION_RETRY_AFTER_SECONDS = 1.0  # told to newcomers while the process ends
-MAX_EARLY_REPLIES = 16  # datagrams of a runner kept until its reply has shown that it is one
-CRYPTO_BUFFER_EXCEEDED = 0x0D
+RESPONSE_MARGIN_SECONDS = 0.03  # part of the client's deadline that is kept for the way of the response
+RETRY_AFTER_SECONDS = 1.0  # for clients that are rejected at capacity or during shutdown
+MAX_EARLY_REPLIES = 16  # server datagrams held until one is authenticated
+CRYPTO_BUFFER_EXCEEDED = 0x0D  # transport error code
 
 
 class SessionSetup:
+    """Sets sessions up: sends their requests to the driver and carries out its actions."""
+
     def __init__(self, context: Context, sessions: SessionTable, paths: PathTable, responder: Responder) -> None:
+        """Start without sessions."""
         self.context, self.sessions, self.paths, self.responder = context, sessions, paths, responder
-        self.pending_count = 0  # sessions that do not stand yet
-        self._timers: list[tuple[float, int, Session]] = []
+        self.pending_count = 0  # sessions that are being set up
+        self._timers: list[tuple[float, int, Session]] = []  # a heap of due time, timer ID and session
         self._timer_count = 0
 
-    # ------------------------------------------------------------ what the client sends
+    # Datagrams from clients
 
     def start(
         self,
@@ -49,17 +53,19 @@
         client_address: ClientAddress,
         packets: list[Packet],
         flight: Flight,
-        opened: InitialFrames,
+        first_frames: InitialFrames,
         original_dcid: bytes,
-        proven: bool,
+        validated: bool,
     ) -> Session | None:
-        """A client opens a connection. `original_dcid`: the id that it made up first; `proven`: its address is."""
+        """Start a session with a client's first Initial, whose first packet holds `first_frames`.
+
+        `original_dcid` is the connection ID that the client chose first; `validated` tells whether a token has
+        validated its address. Returns None if the client was rejected for lack of capacity.
+        """
         packet = packets[0]
         if self.pending_count >= self.context.settings.most_pending or self.sessions.is_full:
             self.context.counters.add("quic over capacity")
-            self.responder.reject(
-                flight.keys, packet.version, packet.scid, client_address, REJECTION_RETRY_AFTER_SECONDS
-            )
+            self.responder.reject(flight.keys, packet.version, packet.scid, client_address, RETRY_AFTER_SECONDS)
             return None
         session = self.sessions.create()
         setup = session.setup = SetupState(
@@ -70,15 +76,15 @@
             self.context.now,
             original_dcid,
             client_address,
-            None if proven else AmplificationLimit(validating_cid=b""),
+            None if validated else AmplificationLimit(validating_cid=b""),
         )
         self.pending_count += 1
         self.sessions.by_client_cid.put(packet.dcid, session, self.context.now)
         self.context.counters.add("quic requests")
-        # The class is not known before the ClientHello is whole: the default one's wait binds until then.
-        default = self.context.driver.settings.classes[self.context.settings.rules.default_class_index]
-        self._start_timer(session, setup, default.deadline - RESPONSE_MARGIN_SECONDS)
-        self.add_client_datagram(session, setup, data, packets, opened)
+        # The ClientHello determines the request class; until it is complete, the default class's deadline applies.
+        default_class = self.context.driver.settings.classes[self.context.settings.rules.default_class_index]
+        self._start_timer(session, setup, default_class.deadline - RESPONSE_MARGIN_SECONDS)
+        self.add_client_datagram(session, setup, data, packets, first_frames)
         return session
 
     def add_client_datagram(
@@ -87,19 +93,19 @@
         setup: SetupState,
         data: bytes,
         packets: list[Packet],
-        opened: InitialFrames | None = None,
+        first_frames: InitialFrames | None = None,
     ) -> None:
-        """A client's datagram to the id that it made up, while its session is being placed."""
+        """Handle a client's datagram to its client-chosen connection ID during setup."""
         if setup.amplification_limit is not None:
             setup.amplification_limit.record_received(len(data), b"")
         try:
-            taken = setup.flight.add_datagram(data, packets, opened)
+            result = setup.flight.add_datagram(data, packets, first_frames)
         except ClientHelloError as e:
             self.context.counters.add("quic bad hellos")
             self.context.log.rate_limited_event("quic bad hello", why=str(e))
             self._close(session, setup, CRYPTO_BUFFER_EXCEEDED, b"", "quic failed")
             return
-        if taken is AddResult.DROPPED:
+        if result is AddResult.DROPPED:
             self.context.counters.add("quic datagrams dropped")
         elif setup.stage is SetupStage.ATTEMPTING and setup.path is not None:
             self.context.transport.send_to_server(data, setup.path)
@@ -108,44 +114,44 @@
         ):
             self._request_decision(session, setup)
 
-    # ------------------------------------------------------------ what the module says
+    # Decisions of the balancer
 
     def _request_decision(self, session: Session, setup: SetupState) -> None:
         setup.stage = SetupStage.AWAITING_DECISION
         if self.context.shutting_down:
-            self._reject(session, setup, REJECTION_RETRY_AFTER_SECONDS)
+            self._reject(session, setup, RETRY_AFTER_SECONDS)
             return
         settings = self.context.driver.settings
         setup.class_index, group = self.context.settings.rules.classify(setup.flight.client_hello or ClientHello())
-        wait = (
+        time_left = (
             settings.classes[setup.class_index].deadline
             - RESPONSE_MARGIN_SECONDS
             - (self.context.now - setup.started_at)
         )
-        setup.timer_id = 0  # the module's answer comes in time
+        setup.timer_id = 0  # the driver responds within the deadline
         self.context.driver.submit(
             session,
             Request(
                 session.id,
                 setup.class_index,
-                wait,
+                time_left,
                 affinity_key=stable_hash(setup.original_dcid, 53),
                 session_group=stable_hash(group, 53) if group and settings.session_groups else None,
             ),
         )
 
     def carry_out_actions(self) -> None:
-        """Carry out what the module has decided, as long as it decides more in answer."""
+        """Carry out the actions that the driver has queued, and those that it queues meanwhile."""
         pending_actions = self.sessions.pending_actions
         done = 0
-        while done < len(pending_actions):  # it grows meanwhile
+        while done < len(pending_actions):
             session, action = pending_actions[done]
             done += 1
             if session.ended:
                 continue
             try:
                 self._carry_out(session, action)
-            except Exception as e:  # a fault ends one session, not the front
+            except Exception as e:  # an internal error ends one session, not the front end
                 self.context.counters.add("internal_errors")
                 self.context.log.event("internal_error", error=repr(e), session=session.id)
                 self._abort(session)
@@ -170,40 +176,47 @@
             case Fail() if setup is not None:
                 self._close(session, setup, INTERNAL_ERROR, b"ERR", "quic failed")
 
-    # ------------------------------------------------------------ one attempt
+    # Attempts
 
-    def _start_attempt(self, session: Session, setup: SetupState, send: StartAttempt) -> None:
-        """Offer what the client has sent to a runner."""
+    def _start_attempt(self, session: Session, setup: SetupState, action: StartAttempt) -> None:
+        """Send what the client has sent so far to a server."""
         context = self.context
         context.counters.add("quic attempts")
         setup.attempts += 1
         setup.stage = SetupStage.ATTEMPTING
-        fit = context.endpoints.uid(send.server) in context.directory.uids  # else not a runner that speaks QUIC
-        setup.path = self.paths.open(session, send.server, setup.client_address) if fit else None
+        speaks_quic = context.endpoints.uid(action.server) in context.directory.uids
+        setup.path = self.paths.open(session, action.server, setup.client_address) if speaks_quic else None
         if setup.path is None or not context.driver.may_start_attempt(session.id):
             self._end_attempt(session, setup, Outcome.NOT_SENT)
             return
         setup.path.amplification_limit = setup.amplification_limit
         for data in setup.flight.datagrams:
             context.transport.send_to_server(data, setup.path)
-        reply_within = context.settings.reply_within_s or context.driver.settings.limits.connect_timeout
-        self._start_timer(session, setup, min(send.timeout, reply_within))
+        reply_timeout = context.settings.reply_within_s or context.driver.settings.limits.connect_timeout
+        self._start_timer(session, setup, min(action.timeout, reply_timeout))
 
     def _end_attempt(self, session: Session, setup: SetupState, outcome: Outcome) -> None:
-        """The attempt is over: late packets of its runner reach nobody. The module says what is next."""
+        """End the attempt and report its outcome to the driver, which decides what follows.
+
+        The attempt's path is closed, so late packets of its server are dropped.
+        """
         self.context.counters.add(f"quic attempts {outcome.label}")
         setup.timer_id, setup.stage = 0, SetupStage.AWAITING_DECISION
         if setup.path is not None:
             self.paths.close(setup.path)
             setup.path = None
         setup.early_replies.clear()
-        bound = setup.bound_to_server
-        self.context.driver.attempt_ended(session.id, outcome, finished=bound)
-        if bound:  # its token is worth nothing at another runner
+        is_final = setup.bound_to_server
+        self.context.driver.attempt_ended(session.id, outcome, finished=is_final)
+        if is_final:  # no other server accepts the token that this one issued
             self._close(session, setup, INTERNAL_ERROR, b"ERR", "quic failed")
 
     def handle_server_reply(self, session: Session, setup: SetupState, path: Path, data: bytes) -> None:
-        """A runner's datagram in an attempt. Only what opens under the keys of the client's own Initial counts."""
+        """Handle a server's datagram during an attempt.
+
+        Only packets that the keys of the client's Initial decrypt, or that prove in another way that the server has
+        seen it, have an effect.
+        """
         if setup.path is not path:
             return
         if len(setup.early_replies) < MAX_EARLY_REPLIES:
@@ -219,19 +232,21 @@
             if frames is None:
                 continue
             if frames.close_code is not None:
-                refused = frames.close_code == CONNECTION_REFUSED
-                self._end_attempt(session, setup, Outcome.REJECTED if refused else Outcome.ERROR)
+                rejected = frames.close_code == CONNECTION_REFUSED
+                self._end_attempt(session, setup, Outcome.REJECTED if rejected else Outcome.ERROR)
                 return
             if frames.crypto:
                 self._establish(session, setup, path, packet.scid)
                 return
 
     def _handle_redirect(self, session: Session, setup: SetupState, path: Path, data: bytes, dcid: bytes) -> None:
-        """A Retry or a Version Negotiation: the client comes again, under the id in the Retry or with another
-        version, and has other keys. It is the same attempt, at the same runner.
+        """Pass on a server's Retry or Version Negotiation, as part of the same attempt at the same server.
+
+        The client then sends a new flight, to the connection ID in the Retry or with another version, so with other
+        keys.
         """
         if setup.bound_to_server:
-            return  # a client takes one only
+            return  # a client accepts only one
         setup.bound_to_server = True
         setup.early_replies.clear()
         self.sessions.by_client_cid.put(setup.dcid, None, self.context.now)
@@ -240,7 +255,7 @@
         self._send_to_client(path, data)
 
     def _establish(self, session: Session, setup: SetupState, path: Path, scid: bytes) -> None:
-        """The runner has taken the session."""
+        """Establish the session: the server has accepted it and uses the connection ID `scid`."""
         context = self.context
         context.counters.add("quic attempts ok")
         context.counters.add("quic placed")
@@ -252,7 +267,8 @@
         if context.directory.is_routable(scid):
             self.sessions.add_cid(session, scid)
         else:
-            # Its ids can't be read: they are found by heart, and by the client's address where they change.
+            # Connection IDs that are not routable are found by an exact match only. After the client changes to one
+            # that is not known here, it is found by its address.
             context.counters.add("quic by address")
             session.by_address = True
             if path.amplification_limit is not None and not scid:
@@ -261,7 +277,7 @@
             self.sessions.by_address[path.client_address] = session
         for data in setup.early_replies:
             self._send_to_client(path, data)
-        # What still comes to the id that the client made up is its session's.
+        # Further packets to the client-chosen connection ID belong to the session.
         self.sessions.by_client_cid.put(setup.dcid, session, context.now)
         context.driver.connection_established(session.id)
         if session.migrating:
@@ -274,7 +290,7 @@
         self.context.transport.send_to_client(data, path.client_address)
 
     def handle_unreachable_server(self, path: Path) -> None:
-        """An ICMP error: no process listens there."""
+        """Handle an ICMP error: no process listens at the path's server address."""
         session = path.session
         setup = session.setup
         if setup is None:
@@ -282,27 +298,29 @@
         elif setup.path is path:
             self._end_attempt(session, setup, Outcome.UNREACHABLE)
 
-    # ------------------------------------------------------------ time
+    # Timers
 
-    def _start_timer(self, session: Session, setup: SetupState, within: float) -> None:
+    def _start_timer(self, session: Session, setup: SetupState, delay: float) -> None:
+        """Start a timer of `delay` seconds, which replaces the session's earlier one."""
         self._timer_count += 1
         setup.timer_id = self._timer_count
-        heappush(self._timers, (self.context.now + within, self._timer_count, session))
+        heappush(self._timers, (self.context.now + delay, self._timer_count, session))
 
     def next_timer(self) -> float | None:
-        """When the next timer is due, on the context's clock."""
+        """Return when the next timer is due, in seconds of the context's clock; None if there is none."""
         while self._timers and not self._is_current(self._timers[0]):
             heappop(self._timers)
         return self._timers[0][0] if self._timers else None
 
     def run_timers(self) -> None:
-        while (at := self.next_timer()) is not None and at <= self.context.now:
+        """Run the timers that are due."""
+        while (due_at := self.next_timer()) is not None and due_at <= self.context.now:
             session = heappop(self._timers)[2]
             setup = session.setup
             assert setup is not None
             if setup.stage is SetupStage.ATTEMPTING:
                 self._end_attempt(session, setup, Outcome.TIMED_OUT)
-            else:  # its ClientHello has not become whole; nothing has run
+            else:  # the ClientHello is still incomplete, so nothing was executed
                 self.context.counters.add("quic incomplete hellos")
                 self._reject(session, setup, 0.0)
             self.carry_out_actions()
@@ -311,26 +329,27 @@
         setup = timer[2].setup
         return not timer[2].ended and setup is not None and setup.timer_id == timer[1]
 
-    # ------------------------------------------------------------ the final answer
+    # Final responses
 
-    def _reject(self, session: Session, setup: SetupState, wait: float) -> None:
-        self.responder.reject(setup.flight.keys, setup.version, setup.scid, setup.client_address, wait)
+    def _reject(self, session: Session, setup: SetupState, retry_after: float) -> None:
+        self.responder.reject(setup.flight.keys, setup.version, setup.scid, setup.client_address, retry_after)
         self._finish(session, setup, placed=False)
 
-    def _close(self, session: Session, setup: SetupState, code: int, reason: bytes, count: str) -> None:
+    def _close(self, session: Session, setup: SetupState, code: int, reason: bytes, counter: str) -> None:
         self.responder.close_connection(
-            setup.flight.keys, setup.version, setup.scid, setup.client_address, code, reason, count
+            setup.flight.keys, setup.version, setup.scid, setup.client_address, code, reason, counter
         )
         self._finish(session, setup, placed=False)
 
     def _abort(self, session: Session) -> None:
-        """What a fault has left of a session: its client gets its final answer all the same."""
+        """End a session after an internal error; if it was being set up, its client still gets a final response."""
         if session.setup is not None and not session.ended:
             self._close(session, session.setup, INTERNAL_ERROR, b"ERR", "quic failed")
         elif not session.ended:
             self.sessions.remove(session)
 
     def _finish(self, session: Session, setup: SetupState, placed: bool) -> None:
+        """End the setup and log it. `placed` tells whether the session is established; else it is removed."""
         self.pending_count -= 1
         setup.timer_id = 0
         self.context.log.event(
--- a/aspensaddle/frontends/quic/session_table.py
+++ b/aspensaddle/frontends/quic/session_table.py
@@ -1,6 +1,6 @@
-"""The sessions that stand: found by their ids and addresses, taken over, moved, ended, swept.
+"""Established sessions: lookup by connection ID and address, forwarding, adoption, migration, end and expiry.
 
-Free of I/O: datagrams leave by the context's wire, what has to be decided goes to the driver.
+No I/O: datagrams are sent by the context's transport, and decisions are left to the driver.
 """
 
 from __future__ import annotations
@@ -17,42 +17,43 @@
 from aspensaddle.frontends.quic.responder import Responder
 from aspensaddle.frontends.quic.session import ClientAddress, Path, Session, SessionEnd
 
-MAX_SESSION_CIDS = 8  # latest ids of a session
-RESET_MEMORY_SECONDS = 30.0  # how long ids of a session that was reset are answered with a reset
-SERVER_SILENCE_SECONDS, MIN_UNANSWERED_DATAGRAMS = (
-    4.5,
-    3,
-)  # a runner that brings nothing back to so many datagrams in so long is lost
-SHORT_QUARANTINE_SECONDS = 0.25  # seconds, of a path on which no runner ever spoke
-CONFIRMING_BYTES = 128  # octets of a runner after which a session taken over is one; resets alone are fewer
-SWEEP_PARTS = 5  # a sweep looks at a part of the sessions, so that none holds datagrams up for long
+MAX_SESSION_CIDS = 8  # the latest connection IDs of a session that are remembered
+RESET_MEMORY_SECONDS = 30.0  # time in which connection IDs of a reset session are answered with a stateless reset
+# A server that answers none of this many datagrams for this many seconds is lost.
+SERVER_SILENCE_SECONDS, MIN_UNANSWERED_DATAGRAMS = 4.5, 3
+SHORT_QUARANTINE_SECONDS = 0.25  # quarantine of a path on which the server never sent anything
+CONFIRMING_BYTES = 128  # an adopted session is confirmed by more bytes from its server; stateless resets have fewer
+SWEEP_PARTS = 5  # each sweep checks a part of the sessions, so that none delays datagrams for long
 MIN_SWEPT_SESSIONS = 64
 
-SERVER_GONE = SessionEnd(Outcome.CONNECTION_LOST, True, "runner left")
-SERVER_SILENT = SessionEnd(Outcome.CONNECTION_LOST, True, "runner silent")
-SERVER_UNREACHABLE = SessionEnd(Outcome.CONNECTION_LOST, True, "runner unreachable")
-IDLE_TIMEOUT = SessionEnd(Outcome.OK, False, "idle")  # the end of a session can't be seen from outside
+SERVER_GONE = SessionEnd(Outcome.CONNECTION_LOST, True, "server left the endpoint list")
+SERVER_SILENT = SessionEnd(Outcome.CONNECTION_LOST, True, "server silent")
+SERVER_UNREACHABLE = SessionEnd(Outcome.CONNECTION_LOST, True, "server unreachable")
+IDLE_TIMEOUT = SessionEnd(Outcome.OK, False, "idle")  # an intermediary cannot see the regular end of a connection
 MIGRATED = SessionEnd(Outcome.CANCELLED, True, "moved")
-EVICTED = SessionEnd(Outcome.CANCELLED, False, "made room")
+EVICTED = SessionEnd(Outcome.CANCELLED, False, "evicted before its server confirmed it")
 
 
 class SessionTable:
+    """All sessions, and the life of those that are established."""
+
     def __init__(self, context: Context, paths: PathTable, responder: Responder) -> None:
+        """Start without sessions."""
         self.context, self.paths, self.responder = context, paths, responder
         self.by_id: dict[str, Session] = {}
         self.pending_actions: list[tuple[Session, RequestAction]] = []
-        # A session under a client-chosen id, or None where that id has had its final answer.
+        # The session of each client-chosen connection ID; None if its final response was sent.
         self.by_client_cid: ExpiringMap[Session | None] = ExpiringMap(0, 0.0)
-        self.by_server_cid: dict[bytes, Session] = {}  # by ids that runners issued
+        self.by_server_cid: dict[bytes, Session] = {}  # by connection IDs that servers issued
         self.reset_cids: ExpiringMap[bool] = ExpiringMap(0, 0.0)
-        self.by_address: dict[ClientAddress, Session] = {}  # those whose ids can't be read
-        self._unconfirmed: OrderedDict[str, Session] = OrderedDict()  # taken over, the runner has said too little yet
+        self.by_address: dict[ClientAddress, Session] = {}  # sessions whose connection IDs are not routable
+        self._unconfirmed: OrderedDict[str, Session] = OrderedDict()  # adopted; the server has sent too little so far
         self._created_count = 0
         self._remaining_to_sweep: Iterator[Session] = iter(())
         self.configure()
 
     def configure(self) -> None:
-        """Take the bounds in the settings. What is kept already stays."""
+        """Use the limits in the settings in force. Existing entries stay."""
         settings = self.context.settings
         self.by_client_cid.max_entries, self.by_client_cid.lifetime_seconds = (
             2 * settings.most_sessions,
@@ -66,19 +67,24 @@
 
     @property
     def is_full(self) -> bool:
+        """Whether there are as many sessions as the settings allow."""
         return len(self.by_id) >= self.context.settings.most_sessions
 
     def create(self) -> Session:
+        """Add a session that is not established yet."""
         self._created_count += 1
         session = Session(f"quic-{self._created_count}", self.pending_actions, last_active_at=self.context.now)
         self.by_id[session.id] = session
         return session
 
-    # ------------------------------------------------------------ standing
+    # Established sessions
 
     def adopt(self, client_address: ClientAddress, server: int) -> Session | None:
-        """A session that began at another balancer, or here before a restart. Until its runner has said enough
-        it is one of a bounded number, of which the oldest makes room: guards against ids made up.
+        """Add a session that was established by another balancer, or by this one before a restart.
+
+        Until its server has sent enough, the session counts as unconfirmed. The number of those is bounded, and the
+        oldest is evicted, so that forged connection IDs cannot fill the table. Returns None if no session may be
+        added.
         """
         if not self._adoption_limiter.try_acquire(self.context.now):
             self.context.counters.add("quic not adopted")
@@ -99,20 +105,27 @@
         return session
 
     def add_cid(self, session: Session, dcid: bytes) -> None:
-        """An id of a session's that its runner issued."""
+        """Remember a connection ID that the session's server issued, unless it is empty or known."""
         if self.by_server_cid.get(dcid) is session or not dcid:
             return
-        ids = session.cids
-        if len(ids) >= MAX_SESSION_CIDS:
-            self.by_server_cid.pop(ids[0], None)
-            ids = ids[1:]
-        session.cids = (*ids, dcid)
+        known_cids = session.cids
+        if len(known_cids) >= MAX_SESSION_CIDS:
+            self.by_server_cid.pop(known_cids[0], None)
+            known_cids = known_cids[1:]
+        session.cids = (*known_cids, dcid)
         self.by_server_cid[dcid] = session
 
     def forward_to_server(
         self, session: Session, data: bytes, client_address: ClientAddress, dcid: bytes = b""
     ) -> None:
-        """A client's datagram to the runner of a session that stands."""
+        """Forward a client's datagram to the server of an established session.
+
+        Args:
+            session: the session.
+            data: the datagram.
+            client_address: the address that it came from.
+            dcid: the routable connection ID that it was sent to; empty if there is none.
+        """
         path = session.path
         if path is None or path.client_address != client_address:
             path = self._switch_path(session, client_address)
@@ -133,7 +146,7 @@
             self.end(session, MIGRATED)
 
     def _switch_path(self, session: Session, client_address: ClientAddress) -> Path | None:
-        """The path of another address of the client's: one it had, or a new one (RFC 9000, 9)."""
+        """Use the path of another address of the client, which is opened if there is none (RFC 9000, 9)."""
         path = next((p for p in session.other_paths or () if p.client_address == client_address), None)
         if path is None:
             if len(session.all_paths()) >= MAX_PATHS_PER_SESSION:
@@ -149,14 +162,14 @@
         return path
 
     def use_path(self, session: Session, path: Path) -> None:
-        """Make a path the one that its session uses; the one before is kept behind it."""
+        """Make a path the session's current one and keep the former one among its other paths."""
         others = [p for p in session.other_paths or () if p is not path]
         if session.path is not None and session.path is not path:
             others.append(session.path)
         session.path, session.other_paths = path, others or None
 
     def forward_to_client(self, session: Session, path: Path, data: bytes) -> None:
-        """A runner's datagram to the client."""
+        """Forward a server's datagram to the client of an established session."""
         session.last_active_at = path.last_used_at = self.context.now
         session.unanswered_datagrams = 0
         session.server_has_replied = True
@@ -169,16 +182,19 @@
             return
         self.context.transport.send_to_client(data, path.client_address)
 
-    # ------------------------------------------------------------ ends
+    # Ends of sessions
 
     def migrate(self, session: Session) -> None:
-        """The module moves a client. It is told as soon as an id is known that it can be told by."""
+        """Make the client reconnect elsewhere, as the balancer decided.
+
+        That takes a stateless reset, which waits until a connection ID of the client is known.
+        """
         session.migrating = True
         if session.path is not None and session.path.dcid:
             self.end(session, MIGRATED)
 
     def end(self, session: Session, end: SessionEnd) -> None:
-        """The one end of a session that stood."""
+        """End an established session, count and log it, and report it to the driver. Later calls do nothing."""
         if session.ended:
             return
         self.context.counters.add("quic moved" if end is MIGRATED else f"quic ended {end.outcome.label}")
@@ -193,7 +209,10 @@
         self.remove(session)
 
     def remove(self, session: Session) -> None:
-        """Forget a session and close what it has. What still comes to its client-chosen id must not begin anew."""
+        """Remove a session and close its paths.
+
+        Its client-chosen connection ID is remembered, so that late packets to it do not start a new session.
+        """
         session.ended = True
         self.by_id.pop(session.id, None)
         self._unconfirmed.pop(session.id, None)
@@ -207,21 +226,22 @@
         for path in session.all_paths():
             if self.by_address.get(path.client_address) is session:
                 del self.by_address[path.client_address]
-            # Guards against ids made up in a flood: a runner that never spoke has little more to say.
+            # In a flood of forged connection IDs, slots have to become free soon. A server that never sent anything
+            # on a path has little left to send on it.
             self.paths.close(
                 path, SHORT_QUARANTINE_SECONDS if session.server >= 0 and not session.server_has_replied else None
             )
         self.context.driver.client_disconnected(session.id)
 
     def forget_unreadable_cids(self) -> None:
-        """Forget ids that no configuration in force reads: one was retired, or a reload left it out."""
+        """Forget connection IDs of configurations that were retired or that a reload has removed."""
         unix_time = self.context.unix_time()
         for dcid in [d for d in self.by_server_cid if not self.context.directory.may_identify_session(d, unix_time)]:
             session = self.by_server_cid.pop(dcid)
             session.cids = tuple(i for i in session.cids if i != dcid)
 
     def sweep(self) -> None:
-        """Look at a part of the sessions: end those that are idle or whose runner is lost."""
+        """Check a part of the sessions and end those that are idle or whose server is lost."""
         now, idle = self.context.now, self.context.settings.idle_s
         for _ in range(max(MIN_SWEPT_SESSIONS, len(self.by_id) // SWEEP_PARTS)):
             session = next(self._remaining_to_sweep, None)
--- a/aspensaddle/frontends/quic/settings.py
+++ b/aspensaddle/frontends/quic/settings.py
@@ -1,6 +1,7 @@
-"""The operator's file of the QUIC front, `deploy/quic.toml`. Off without it, or with `enabled = false`.
+"""Settings of the QUIC front end, from the operator's file `deploy/quic.toml`.
 
-Nothing heavy is imported unless the front is on: the platform, where it is off, pays for none of it.
+Without the file, or with `enabled = false`, the front end is off. Its other modules are imported only if it is on, so
+that a process without it pays nothing for them.
 """
 
 from __future__ import annotations
@@ -44,45 +45,58 @@
 RETRY_KEYS = {"above_per_s", "keys", "lifetime_s", "answers_per_s"}
 TOKEN_KEYS = {"sequence", "key", "since", "until"}
 MAX_SERVERS = 100_000
-MAX_SERVER_IDS_PER_SERVER = 64  # server ids that one runner may have in a configuration
-MIN_UNROUTABLE_CID_BYTES, MAX_CID_BYTES = 8, 20
+MAX_SERVER_IDS_PER_SERVER = 64  # in one configuration
+MIN_CID_BYTES, MAX_CID_BYTES = 8, 20  # length of connection IDs with the codepoint 0b111
 
 
 @dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """When and how clients have to prove their address."""
+    """When clients have to validate their address, and the keys of Retry tokens."""
 
     tokens: RetryTokens
-    above_per_s: float  # unproven first Initials a second, over which each is answered with a Retry
-    answers_per_s: float  # Retries at most
+    above_per_s: float  # unvalidated first Initials per second above which each is answered with a Retry
+    answers_per_s: float  # limit of Retries per second
 
 
 @dataclass(frozen=True, slots=True)
 class QuicSettings:
+    """The settings of the front end, under the names of the operator's file. Names ending in `_s` are in seconds."""
+
     listen: Address
     rules: SessionRules
     reset_key: bytes
     ids: tuple[IdConfig, ...]
     retry: RetrySettings | None = None
-    runner_port: int = 0  # 0: the port that discovery names
-    unroutable_length: int = 0  # octets of ids under the codepoint 0b111; 0: not all alike
+    runner_port: int = 0  # UDP port of the servers; 0 for the port in the endpoint list
+    unroutable_length: int = 0  # bytes of connection IDs with the codepoint 0b111; 0 if servers differ
     idle_s: float = 30.0  # a session without a datagram for this long has ended
-    reply_within_s: float = 0.0  # for a runner's first reply; 0: the platform's connect time-out
-    initial_s: float = 10.0  # how long a client-chosen id is remembered
+    reply_within_s: float = 0.0  # for a server's first reply; 0 for the platform's connect timeout
+    initial_s: float = 10.0  # how long a client-chosen connection ID is remembered
     most_sessions: int = 2000
-    most_pending: int = 256
-    most_sockets: int = 64
-    answers_per_s: float = 500.0  # negotiations, refusals and resets at most
-    adopted_per_s: float = 1000.0  # sessions taken over that began elsewhere
+    most_pending: int = 256  # limit of session setups, and of adopted sessions that are not confirmed yet
+    most_sockets: int = 64  # limit of sockets towards servers
+    answers_per_s: float = 500.0  # limit of Version Negotiations, rejections and stateless resets per second
+    adopted_per_s: float = 1000.0  # limit of adopted sessions per second
 
 
 def load_quic_settings(path: Path, classes: Mapping[str, int]) -> QuicSettings | None:
-    """The settings in a file; None where there is none or it says that the front is off. Raises `ConfigError`."""
+    """Load the operator's file; None if there is no file or it disables the front end.
+
+    Args:
+        path: the file.
+        classes: class indexes by name.
+
+    Raises:
+        ConfigError: the file or the key file that it names is not valid.
+    """
     return load_toml(path, lambda m: parse_quic_settings(m, classes, path.parent))
 
 
 def parse_quic_settings(m: Message, classes: Mapping[str, int], folder: Path = Path()) -> QuicSettings | None:
-    """`folder` is where the file lies: the key file that it names is found from there."""
+    """Parse the table `m` of the operator's file; None if it disables the front end.
+
+    `classes` are class indexes by name; the path of the key file is relative to `folder`. Raises `DecodeError`.
+    """
     if not flag(m, "enabled"):
         return None
     from aspensaddle.frontends.quic.session_rules import parse_rules
@@ -93,20 +107,18 @@
         raise DecodeError(f"class must be one of {', '.join(classes)}, not {name!r:.60}")
     reset_key = _hex_bytes(m, "reset_key")
     if len(reset_key) < 16:
-        raise DecodeError("reset_key must be 16 octets at least, in hex digits")
-    unroutable = _bounded_integer(m, "unroutable_length", 0, 0, MAX_CID_BYTES)
-    if 0 < unroutable < MIN_UNROUTABLE_CID_BYTES:
-        raise DecodeError(
-            f"unroutable_length must be 0 or {MIN_UNROUTABLE_CID_BYTES} to {MAX_CID_BYTES}, not {unroutable}"
-        )
+        raise DecodeError("reset_key must be at least 16 bytes, in hex digits")
+    cid_length = _bounded_integer(m, "unroutable_length", 0, 0, MAX_CID_BYTES)
+    if 0 < cid_length < MIN_CID_BYTES:
+        raise DecodeError(f"unroutable_length must be 0 or {MIN_CID_BYTES} to {MAX_CID_BYTES}, not {cid_length}")
     settings = QuicSettings(
         parse_address(text(m, "listen"), "listen"),
         parse_rules(m, classes, classes[name]),
         reset_key,
-        _parse_ids(m),
+        _parse_id_configs(m),
         _parse_retry(m, folder),
         runner_port=_bounded_integer(m, "runner_port", 0, 0, 65535),
-        unroutable_length=unroutable,
+        unroutable_length=cid_length,
         idle_s=_bounded_number(m, "idle_s", 30.0),
         reply_within_s=_bounded_number(m, "reply_within_s", 0.0),
         initial_s=_bounded_number(m, "initial_s", 10.0),
@@ -117,67 +129,68 @@
         adopted_per_s=_bounded_number(m, "adopted_per_s", 1000.0, 1.0),
     )
     if settings.retry is not None and settings.retry.tokens.lifetime_seconds > settings.initial_s:
-        # Guards against a token that outlives the memory of what became of it, and could be used again.
-        raise DecodeError("retry.lifetime_s must not be over initial_s")
+        # A valid token could be used again once the connection ID of its session is forgotten.
+        raise DecodeError("retry.lifetime_s must not exceed initial_s")
     return settings
 
 
-# ---------------------------------------------------------------- ids
+# QUIC-LB configurations
 
 
-def _parse_ids(m: Message) -> tuple[IdConfig, ...]:
-    shared = obj(m, "runners", {})
+def _parse_id_configs(m: Message) -> tuple[IdConfig, ...]:
+    shared_servers = obj(m, "runners", {})
     configs: list[IdConfig] = []
     for i, value in enumerate(array(m, "ids")):
         try:
-            configs.append(_parse_config(as_object(value, "ids"), shared))
+            configs.append(_parse_id_config(as_object(value, "ids"), shared_servers))
         except (DecodeError, ValueError) as e:
             raise DecodeError(
                 str(e) if str(e).startswith("runners.") and "runners" not in value else f"ids[{i}].{e}"
             ) from None
     if not configs:
-        raise DecodeError("ids must hold one configuration at least")
-    seen: set[int] = set()
+        raise DecodeError("ids must have at least one configuration")
+    rotations: set[int] = set()
     for i, config in enumerate(configs):
-        if config.format.rotation in seen:
-            raise DecodeError(f"ids[{i}].rotation is that of another configuration: each needs its own")
-        seen.add(config.format.rotation)
+        if config.format.rotation in rotations:
+            raise DecodeError(f"ids[{i}].rotation is used by another configuration")
+        rotations.add(config.format.rotation)
     return tuple(configs)
 
 
-def _parse_config(m: Message, shared: Message) -> IdConfig:
+def _parse_id_config(m: Message, shared_servers: Message) -> IdConfig:
+    """Parse an entry of `ids`; `shared_servers` has the server IDs if the entry has none of its own."""
     from aspensaddle.frontends.quic.connection_id_directory import IdConfig
     from aspensaddle.frontends.quic.connection_ids import IdFormat
 
     _require_known_keys(m, ID_KEYS)
-    form = IdFormat(
+    id_format = IdFormat(
         integer(m, "rotation"),
         integer(m, "server_id_length"),
         integer(m, "nonce_length"),
         _hex_bytes(m, "key") if m.get("key") is not None else None,
         flag(m, "self_length"),
     )
-    table = obj(m, "runners", shared)
-    if len(table) > MAX_SERVERS:
-        raise DecodeError(f"runners must be {MAX_SERVERS} at most, not {len(table)}")
+    servers = obj(m, "runners", shared_servers)
+    if len(servers) > MAX_SERVERS:
+        raise DecodeError(f"runners must have at most {MAX_SERVERS} entries, not {len(servers)}")
     uids: dict[bytes, str] = {}
-    for uid, value in table.items():
+    for uid, value in servers.items():
         if type(value) is list and len(value) > MAX_SERVER_IDS_PER_SERVER:
-            raise DecodeError(f"runners.{uid} must have {MAX_SERVER_IDS_PER_SERVER} server ids at most")
-        for one in value if type(value) is list else [value]:
-            server_id = _hex_bytes({uid: one}, uid, "runners.")
-            if len(server_id) != form.server_id_length:
+            raise DecodeError(f"runners.{uid} must have at most {MAX_SERVER_IDS_PER_SERVER} server IDs")
+        for digits in value if type(value) is list else [value]:
+            server_id = _hex_bytes({uid: digits}, uid, "runners.")
+            if len(server_id) != id_format.server_id_length:
                 raise DecodeError(
-                    f"runners.{uid} must be {form.server_id_length} octets, as server_id_length "
-                    f"of rotation {form.rotation} says, not {len(server_id)}"
+                    f"runners.{uid} must be {id_format.server_id_length} bytes, the server_id_length "
+                    f"of rotation {id_format.rotation}, not {len(server_id)}"
                 )
             if server_id in uids:
-                raise DecodeError(f"runners.{uid} has the server id of {uids[server_id]}")
+                raise DecodeError(f"runners.{uid} has the same server ID as {uids[server_id]}")
             uids[server_id] = uid
-    return IdConfig(form, uids, _unix_time(m, "retire_at", None))
+    return IdConfig(id_format, uids, _unix_time(m, "retire_at", None))
 
 
-# ---------------------------------------------------------------- Retry
+# Retry
 
 
 def _parse_retry(m: Message, folder: Path) -> RetrySettings | None:
@@ -185,25 +198,29 @@
         return None
     table = obj(m, "retry")
     try:
-        return _parse_service(table, folder)
+        return _parse_retry_table(table, folder)
     except DecodeError as e:
         raise DecodeError(f"retry.{e}") from None
 
 
-def _parse_service(m: Message, folder: Path) -> RetrySettings:
+def _parse_retry_table(m: Message, folder: Path) -> RetrySettings:
     _require_known_keys(m, RETRY_KEYS)
     lifetime_seconds = _bounded_number(m, "lifetime_s", 10.0, 1.0)
     path = folder / text(m, "keys")
     tokens = load_toml(path, lambda keys: parse_token_keys(keys, lifetime_seconds))
     if tokens is None:
-        raise DecodeError(f"keys: there is no file {path}")
+        raise DecodeError(f"keys: the file {path} does not exist")
     return RetrySettings(
         tokens, _bounded_number(m, "above_per_s", 100.0), _bounded_number(m, "answers_per_s", 5000.0, 1.0)
     )
 
 
 def parse_token_keys(m: Message, lifetime_seconds: float) -> RetryTokens:
-    """The key file of the Retry service, which balancers and runners share."""
+    """Parse the key file for Retry tokens, which balancers and servers share.
+
+    Raises:
+        DecodeError: a value is not valid; the message starts with the field.
+    """
     from aspensaddle.frontends.quic.retry_tokens import RetryTokens
 
     _require_known_keys(m, {"keys"})
@@ -214,7 +231,7 @@
         except (DecodeError, ValueError) as e:
             raise DecodeError(f"keys[{i}].{e}") from None
     if not keys:
-        raise DecodeError("keys must hold one key at least")
+        raise DecodeError("keys must have at least one key")
     try:
         return RetryTokens(keys, lifetime_seconds)
     except ValueError as e:
@@ -233,7 +250,7 @@
     )
 
 
-# ---------------------------------------------------------------- values
+# Values
 
 
 def _require_known_keys(m: Message, names: set[str]) -> None:
@@ -241,34 +258,35 @@
         raise DecodeError(f"{unknown[0]} is not a setting")
 
 
-def _hex_bytes(m: Message, name: str, where: str = "") -> bytes:
+def _hex_bytes(m: Message, name: str, prefix: str = "") -> bytes:
+    """Return a field of hex digits as bytes; `prefix` precedes its name in an error."""
     try:
         return bytes.fromhex(text(m, name))
     except (ValueError, DecodeError):
-        raise DecodeError(f"{where}{name} must be hex digits") from None
+        raise DecodeError(f"{prefix}{name} must be hex digits") from None
 
 
 def _unix_time(m: Message, name: str, default: float | None) -> float | None:
-    """A date and time of the file, as Unix time in seconds."""
+    """Return a date and time as Unix time in seconds."""
     value = m.get(name)
     if value is None:
         return default
     if not isinstance(value, datetime.datetime) or value.tzinfo is None:
         raise DecodeError(
-            f"{name} must be a date and time with its offset, such as 2026-12-01T18:00:00Z, not {value!s:.60}"
+            f"{name} must be a date and time with a UTC offset, such as 2026-12-01T18:00:00Z, not {value!s:.60}"
         )
     return value.timestamp()
 
 
-def _bounded_number(m: Message, name: str, default: float, low: float = 0.0) -> float:
+def _bounded_number(m: Message, name: str, default: float, minimum: float = 0.0) -> float:
     value = float(number(m, name, default))
-    if not low <= value < 1e6:
-        raise DecodeError(f"{name} must be a number from {low:g} up, not {value!r}")
+    if not minimum <= value < 1e6:
+        raise DecodeError(f"{name} must be a number from {minimum:g} up, not {value!r}")
     return value
 
 
-def _bounded_integer(m: Message, name: str, default: int, low: int, high: int) -> int:
+def _bounded_integer(m: Message, name: str, default: int, minimum: int, maximum: int) -> int:
     value = int(integer(m, name, default))
-    if not low <= value <= high:
-        raise DecodeError(f"{name} must be {low} to {high}, not {value}")
+    if not minimum <= value <= maximum:
+        raise DecodeError(f"{name} must be {minimum} to {maximum}, not {value}")
     return value
--- a/aspensaddle/frontends/quic/socket_slots.py
+++ b/aspensaddle/frontends/quic/socket_slots.py
@@ -1,11 +1,12 @@
-"""Which address of this balancer's a client has towards a runner. Free of I/O; the time is told.
+"""Assigns the local sockets that represent clients at servers. No I/O; callers pass the current time.
 
-A runner has to see a client's change of address as a change of address, to validate it (RFC 9000, 9), and what
-comes back can't be told apart by ids: browsers use none, and later ones are sealed. So each path is a pair of a
-socket of this balancer's and a runner, and no two paths share a pair at a time. A socket serves one path at every
-runner: descriptors grow with the paths at the fullest runner, not with all paths.
+A server has to see a client's change of address as a change of address, so that it validates the new one (RFC 9000,
+9). Connection IDs do not tell apart what a server sends back: browsers use none, and later ones are encrypted.
+Therefore each path is a pair of a local socket and a server, and no two open paths share a pair. A socket serves one
+path at every server, so the number of descriptors grows with the paths of the busiest server, not with all paths.
 
-A pair that was given up rests before it is used again, lest what its runner still sends reaches another client.
+A released pair is quarantined before it is used again, so that datagrams that the server still sends to it do not
+reach another client.
 """
 
 from __future__ import annotations
@@ -16,51 +17,68 @@
 from heapq import heappop, heappush
 from typing import Generic, TypeVar
 
-R = TypeVar("R", bound=Hashable)
+ServerT = TypeVar("ServerT", bound=Hashable)
 
 
-class SocketSlots(Generic[R]):
-    """Pairs of a socket's number (0 up to `max_slots`) and a runner's address `R`. O(log n) each."""
+class SocketSlots(Generic[ServerT]):
+    """Allocates slots, the numbers of local sockets, per server. O(log n) per operation."""
 
     def __init__(self, max_slots: int, quarantine_seconds: float) -> None:
-        """`max_slots`: sockets; `quarantine_seconds`: seconds before a pair is used again."""
+        """Start with all slots free.
+
+        Args:
+            max_slots: the number of sockets; slots are numbered from 0.
+            quarantine_seconds: the usual time before a released slot is used for the same server again.
+        """
         self.max_slots, self.quarantine_seconds = max_slots, quarantine_seconds
-        self._free: dict[R, list[int]] = {}  # a heap of numbers given back and rested
-        self._quarantined: dict[R, deque[tuple[float, int]]] = {}  # until when, number; the first one first
-        self._next_unused: dict[R, int] = {}  # the lowest number never used at a runner
+        self._free: dict[ServerT, list[int]] = {}  # a heap of released slots after their quarantine
+        # End of the quarantine and slot, the earliest end first
+        self._quarantined: dict[ServerT, deque[tuple[float, int]]] = {}
+        self._next_unused: dict[ServerT, int] = {}  # the lowest slot that was never used for the server
+
+    def acquire(self, server_address: ServerT, now: float) -> int | None:
+        """Return the lowest free slot for a server, or None if all are in use or in quarantine.
 
-    def acquire(self, server_address: R, now: float) -> int | None:
-        """The lowest socket free at a runner, so that few sockets are in use; None where all are taken or rest.
-        Low numbers come first, but a rested pair only when it has rested.
+        The lowest one is chosen so that few sockets are open.
         """
         free = self._free.setdefault(server_address, [])
-        resting = self._quarantined.get(server_address)
-        while resting and resting[0][0] <= now:
-            heappush(free, resting.popleft()[1])
+        quarantined = self._quarantined.get(server_address)
+        while quarantined and quarantined[0][0] <= now:
+            heappush(free, quarantined.popleft()[1])
         if free and free[0] < self.max_slots:
             return heappop(free)
-        number = self._next_unused.get(server_address, 0)
-        if number >= self.max_slots:
+        slot = self._next_unused.get(server_address, 0)
+        if slot >= self.max_slots:
             return None
-        self._next_unused[server_address] = number + 1
-        return number
+        self._next_unused[server_address] = slot + 1
+        return slot
 
-    def release(self, server_address: R, number: int, now: float, quarantine_seconds: float | None = None) -> None:
-        """A path has ended. `quarantine_seconds`: seconds, where it needs less than others."""
-        resting = self._quarantined.setdefault(server_address, deque())
+    def release(
+        self, server_address: ServerT, slot: int, now: float, quarantine_seconds: float | None = None
+    ) -> None:
+        """Release a slot for a server.
+
+        Args:
+            server_address: the server.
+            slot: the slot.
+            now: the current time in seconds.
+            quarantine_seconds: time before the slot is used for the server again; None for the usual time.
+        """
+        quarantined = self._quarantined.setdefault(server_address, deque())
         if quarantine_seconds is None:
-            resting.append((now + self.quarantine_seconds, number))
+            quarantined.append((now + self.quarantine_seconds, slot))
         else:
-            insort(resting, (now + quarantine_seconds, number))
+            insort(quarantined, (now + quarantine_seconds, slot))
 
-    def servers(self) -> list[R]:
+    def servers(self) -> list[ServerT]:
+        """Return the servers that have slot data."""
         return list(self._free)
 
-    def forget(self, server_address: R) -> None:
-        """A runner has left, and its paths with it."""
+    def forget(self, server_address: ServerT) -> None:
+        """Drop the slot data of a server that has left."""
         for table in (self._free, self._quarantined, self._next_unused):
             table.pop(server_address, None)
 
     def resize(self, max_slots: int) -> None:
-        """Another bound. Numbers over it that are in use stay until they are given back."""
+        """Change the number of slots. Slots above it that are in use stay in use until they are released."""
         self.max_slots = max_slots
--- a/aspensaddle/frontends/quic/sockets.py
+++ b/aspensaddle/frontends/quic/sockets.py
@@ -1,5 +1,6 @@
-"""The UDP sockets of the front: one towards clients, and numbered ones towards runners, of which each serves a
-path at every runner. All are watched by one epoll, so that none costs a task.
+"""UDP sockets of the front end: one towards clients, and numbered ones (slots) towards servers.
+
+Each slot carries one path to every server. One epoll instance watches all sockets, so a socket costs no task.
 """
 
 from __future__ import annotations
@@ -16,24 +17,31 @@
 from aspensaddle.support.counters import Counters
 
 MAX_DATAGRAM_BYTES = 65536
-MAX_BATCH_DATAGRAMS = 64  # datagrams read of one socket in a go, lest one peer starve the rest
-RECEIVE_BUFFER_BYTES = 4 << 20  # asked for towards clients; the system may give less
+MAX_BATCH_DATAGRAMS = 64  # datagrams read from one socket before the next, so that a busy sender starves no other
+RECEIVE_BUFFER_BYTES = 4 << 20  # requested for the client socket; the system may grant less
 IP_RECVERR, IPV6_RECVERR, MSG_ERRQUEUE = 11, 25, 0x2000  # linux/in.h, linux/in6.h, bits/socket.h
 
 
 class UdpSockets:
-    """`from_client(data, peer)`, `from_runner(data, slot, runner)` and `unreachable(slot, runner)` are called for
-    what comes in.
+    """The sockets of the front end.
+
+    Set the three callbacks before reading: `on_client_datagram(data, client_address)`,
+    `on_server_datagram(data, slot, server_address)` and `on_unreachable_server(slot, server_address)`.
     """
 
     def __init__(self, listen: Address, counters: Counters) -> None:
+        """Bind the client socket.
+
+        Raises:
+            OSError: the address is not available.
+        """
         self.counters = counters
         self.family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
         self._client = self._create_socket()
         self._client.bind(listen)
         self._client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._slots: dict[int, socket.socket] = {}
-        self._slot_by_descriptor: dict[int, int] = {}  # by descriptor
+        self._slot_by_descriptor: dict[int, int] = {}
         self._epoll = select.epoll()
         self._epoll.register(self._client, select.EPOLLIN)
         self.on_client_datagram: Callable[[bytes, ClientAddress], None]
@@ -46,13 +54,15 @@
         return sock
 
     def close(self) -> None:
+        """Close all sockets."""
         for sock in (self._client, *self._slots.values()):
             sock.close()
         self._epoll.close()
 
-    # ------------------------------------------------------------ out
+    # Sending
 
     def open_socket(self, slot: int) -> bool:
+        """Open the socket of a slot unless it is open; return False if the system has none left."""
         if slot in self._slots:
             return True
         try:
@@ -60,8 +70,8 @@
         except OSError as e:
             self.counters.add(f"quic socket {errno.errorcode.get(e.errno or 0, 'failed')}")
             return False
-        # Guards against waiting for a runner that is not there: its machine says so, and for a socket that talks
-        # to several runners this tells which.
+        # With this option the system reports ICMP errors, and for which server they are although the socket is not
+        # connected. So an attempt at a server that is not there ends at once instead of timing out.
         if self.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
         else:
@@ -72,40 +82,43 @@
         return True
 
     def send_to_client(self, data: bytes, client_address: ClientAddress) -> None:
+        """Send a datagram to a client, or count why it could not be sent."""
         try:
             self._client.sendto(data, client_address)
         except OSError as e:
-            self._not_sent(e)
+            self._count_send_error(e)
 
     def send_to_server(self, data: bytes, path: Path) -> None:
+        """Send a datagram from the path's socket to its server, or count why it could not be sent."""
         sock = self._slots[path.slot]
         try:
             sock.sendto(data, path.server_address)
         except OSError as e:
             if e.errno in (errno.EAGAIN, errno.ENOBUFS, errno.EMSGSIZE):
-                self._not_sent(e)
+                self._count_send_error(e)
                 return
-            # An error of an earlier datagram, perhaps to another runner, is told at the next use of the socket.
+            # The system reports an error of an earlier datagram, maybe to another server, at the socket's next use.
             self._read_error_queue(path.slot, sock)
             try:
                 sock.sendto(data, path.server_address)
-            except OSError as again:
-                self._not_sent(again)
+            except OSError as second_error:
+                self._count_send_error(second_error)
 
-    def _not_sent(self, e: OSError) -> None:
+    def _count_send_error(self, e: OSError) -> None:
         self.counters.add(f"quic not sent {errno.errorcode.get(e.errno or 0, 'failed')}")
 
-    # ------------------------------------------------------------ in
+    # Receiving
 
     async def wait(self) -> None:
+        """Wait until a socket is readable."""
         await trio.lowlevel.wait_readable(self._epoll.fileno())
 
     def read(self) -> int:
-        """Read what has come, a batch of each socket at most; how many datagrams that was."""
+        """Read up to one batch from each readable socket; return the number of datagrams."""
         count = 0
-        client = self._client.fileno()
+        client_descriptor = self._client.fileno()
         for fd, events in self._epoll.poll(0):
-            if fd == client:
+            if fd == client_descriptor:
                 count += self._read_client()
                 continue
             slot = self._slot_by_descriptor[fd]
@@ -116,7 +129,7 @@
         return count
 
     def _read_client(self) -> int:
-        receive, take = self._client.recvfrom, self.on_client_datagram
+        receive, handle = self._client.recvfrom, self.on_client_datagram
         for count in range(MAX_BATCH_DATAGRAMS):
             try:
                 data, client_address = receive(MAX_DATAGRAM_BYTES)
@@ -125,11 +138,11 @@
             except OSError as e:
                 self.counters.add(f"quic receive {errno.errorcode.get(e.errno or 0, 'failed')}")
                 return count
-            take(data, client_address)
+            handle(data, client_address)
         return MAX_BATCH_DATAGRAMS
 
     def _read_slot(self, slot: int, sock: socket.socket) -> int:
-        receive, take = sock.recvfrom, self.on_server_datagram
+        receive, handle = sock.recvfrom, self.on_server_datagram
         for count in range(MAX_BATCH_DATAGRAMS):
             try:
                 data, server_address = receive(MAX_DATAGRAM_BYTES)
@@ -138,11 +151,11 @@
             except OSError:
                 self._read_error_queue(slot, sock)
                 return count
-            take(data, slot, server_address[:2])
+            handle(data, slot, server_address[:2])
         return MAX_BATCH_DATAGRAMS
 
     def _read_error_queue(self, slot: int, sock: socket.socket) -> None:
-        """What the network said of datagrams that did not arrive (ip(7), IP_RECVERR): whom they were for."""
+        """Report the servers whose datagrams the network could not deliver (ip(7), IP_RECVERR)."""
         for _ in range(MAX_BATCH_DATAGRAMS):
             try:
                 _, _, _, server_address = sock.recvmsg(1, 512, MSG_ERRQUEUE)
--- a/tests/test_quic_hello.py
+++ b/tests/test_quic_hello.py
@@ -85,7 +85,7 @@
 
 
 def test_reassembly_is_bounded_in_octets_and_pieces():
-    with pytest.raises(ClientHelloError, match="octets"):
+    with pytest.raises(ClientHelloError, match="larger than 16384 bytes"):
         CryptoStreamReassembler().add(MAX_CLIENT_HELLO_BYTES - 1, b"xx")
     apart = CryptoStreamReassembler()
     with pytest.raises(ClientHelloError, match="pieces"):
@@ -93,11 +93,11 @@
             apart.add(10 + 2 * i, b"x")
     large = CryptoStreamReassembler()
     large.add(0, b"\x01\xff\xff\xff")
-    with pytest.raises(ClientHelloError, match="octets"):
+    with pytest.raises(ClientHelloError, match="larger than 16384 bytes"):
         large.first_message()
     other = CryptoStreamReassembler()
     other.add(0, b"\x02")
-    with pytest.raises(ClientHelloError, match="no ClientHello"):
+    with pytest.raises(ClientHelloError, match="not a ClientHello"):
         other.first_message()
     flight, random = Flight(b"12345678"), Random(1)
     for _ in range(100):
--- a/tests/test_quic_parsers.py
+++ b/tests/test_quic_parsers.py
@@ -171,7 +171,7 @@
     ("old", "new", "where"),
     [
         ("sequence = 2", "sequence = 200", r"keys\.toml:6: keys\[1\]\.sequence"),
-        ("sequence = 2", "sequence = 1", r"keys\.toml:1: keys: sequence 1 is there twice"),
+        ("sequence = 2", "sequence = 1", r"keys\.toml:1: keys: sequence 1 is used twice"),
         ('"100102', '"1', r"keys\.toml:7: keys\[1\]\.key"),
         ("since = 2026", "since = 2026-12-01 #", r"keys\[1\]\.since"),
     ],
