--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -248,7 +248,7 @@
             return
         path = self.paths.find_path(client_address, server)
         session = path.session if path is not None else None
-        if session is None or session.setup is not None:  # setup: another connection from the same address
+        if session is None or session.setup is not None:  # a session in setup is another connection of the client
             session = sessions.adopt(client_address, server)
         if session is not None:
             sessions.add_cid(session, dcid)
@@ -260,7 +260,7 @@
         """Route a datagram that arrived on a slot's socket from a server."""
         path = self.paths.find_path_by_slot(slot, server_address)
         if path is None:
-            self.context.counters.add("quic late returns")  # its attempt or session has ended
+            self.context.counters.add("quic late returns")  # the attempt or session has ended
             return
         session = path.session
         if session.setup is None:
--- a/aspensaddle/frontends/quic/flight.py
+++ b/aspensaddle/frontends/quic/flight.py
@@ -27,9 +27,8 @@
     """The result of adding a client's datagram to a flight."""
 
     STORED = "new"  # kept; the server of the current attempt gets it too
-    FORWARD_ONLY = (
-        "repeated"  # not kept: only the server of the current attempt gets it, which may have lost the data
-    )
+    # Not kept: only the server of the current attempt gets it, which may have lost the data that it repeats.
+    FORWARD_ONLY = "repeated"
     DROPPED = "dropped"  # not for any server: it cannot be decrypted, or there is no room
 
 
--- a/aspensaddle/frontends/quic/path_table.py
+++ b/aspensaddle/frontends/quic/path_table.py
@@ -8,7 +8,7 @@
 from aspensaddle.frontends.quic.session import ClientAddress, Path, ServerAddress, Session
 from aspensaddle.frontends.quic.socket_slots import SocketSlots
 
-SLOT_QUARANTINE_SECONDS = 3.0  # before a slot represents another client at the same server
+SLOT_QUARANTINE_SECONDS = 3.0  # time before a slot represents another client at the same server
 MIN_EVICTION_IDLE_SECONDS = 1.0  # a path that was used more recently is not evicted
 MAX_EVICTION_CANDIDATES = 16  # paths examined per eviction, starting with the oldest
 MAX_PATHS_PER_SESSION = 4
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -74,9 +74,8 @@
     last_used_at: float  # when a datagram last passed in either direction, in seconds of the context's clock
     dcid: bytes = b""  # the latest routable connection ID that the client used on it
     last_datagram_bytes: int = 0  # size of the client's latest datagram
-    amplification_limit: AmplificationLimit | None = field(
-        default_factory=AmplificationLimit
-    )  # None once the client's address is validated
+    # None when the client's address is validated
+    amplification_limit: AmplificationLimit | None = field(default_factory=AmplificationLimit)
 
 
 class SetupStage(Enum):
@@ -101,7 +100,7 @@
     amplification_limit: AmplificationLimit | None = None  # None if a token has validated the address
     stage: SetupStage = SetupStage.CLIENT_HELLO_INCOMPLETE
     class_index: int = 0
-    path: Path | None = None  # of the attempt in progress
+    path: Path | None = None  # the path of the attempt in progress
     bound_to_server: bool = False  # a server sent a Retry or Version Negotiation, so no other can continue
     early_replies: list[bytes] = field(default_factory=list)  # server datagrams held until one is authenticated
     attempts: int = 0
