--- a/tests/test_quic_engine.py
+++ b/tests/test_quic_engine.py
@@ -1,4 +1,4 @@
-"""The QUIC front's engine in a time of its own: orders and failures that no process could be brought into."""
+"""The QUIC front end's engine in simulated time: orders of events and failures that are hard to cause with processes."""
 
 import time
 from pathlib import Path
@@ -29,53 +29,54 @@
 
 @pytest.fixture
 def create_testbed(tmp_path):
-    made = []
+    """Creates testbeds with the engine in memory; the arguments are those of `TestbedSetup`."""
+    testbeds = []
 
-    def make(**more):
-        made.append(Testbed(TestbedSetup(**more), tmp_path / str(len(made)), memory=True))
-        made[-1].begin_case()
-        return made[-1]
+    def create(**setup):
+        testbeds.append(Testbed(TestbedSetup(**setup), tmp_path / str(len(testbeds)), memory=True))
+        testbeds[-1].begin_case()
+        return testbeds[-1]
 
-    yield make
-    for testbed in made:
+    yield create
+    for testbed in testbeds:
         testbed.close()
 
 
-def test_a_drain_told_between_choice_and_initial_sends_nothing_there(create_testbed):
+def test_server_that_drains_between_decision_and_attempt_receives_no_initial(create_testbed):
     testbed = create_testbed(modes=(ServerMode.OK, ServerMode.OK))
-    driver, request, drained = testbed.frontend.driver, testbed.frontend.driver.submit, []
+    driver, original_submit, drained = testbed.frontend.driver, testbed.frontend.driver.submit, []
 
-    def drain_first_choice(owner, ask):
-        request(owner, ask)
+    def submit_and_drain_first_choice(session, request):
+        original_submit(session, request)
         if not drained:
-            chosen = owner.pending_actions[-1][1].server
+            chosen = session.pending_actions[-1][1].server
             drained.append(testbed.frontend.fleet.uid(chosen))
             driver.update_endpoints(EndpointUpdateScope.INCREMENTAL, (Endpoint(chosen, state=ServerState.DRAINING),))
 
-    driver.submit = drain_first_choice
+    driver.submit = submit_and_drain_first_choice
     (client,) = testbed.connected_clients()
     assert testbed.ask(client) != drained[0] and not testbed.server(drained[0]).records.initials
     assert testbed.counted("quic attempts not_sent") == 1
 
 
-def test_the_module_moves_a_client_which_comes_again_and_its_old_ids_find_nobody(create_testbed):
+def test_migrated_client_is_reset_and_its_old_connection_ids_lead_to_no_session(create_testbed):
     testbed = create_testbed()
     (client,) = testbed.connected_clients()
     testbed.ask(client)
     engine = testbed.frontend.engine
     (session,) = engine.sessions.by_id.values()
-    old = session.cids[-1]
+    old_cid = session.cids[-1]
     session.act(Migrate(session.id))
     testbed.wait(lambda: client.reset, "a reset")
     assert not engine.sessions.by_id and not engine.paths.count and session.id not in testbed.frontend.driver
     raw = testbed.raw_endpoint()
-    raw.send(short_header_packet(old, 100), testbed.address)
-    testbed.wait(lambda: raw.got, "a reset for an old id")
-    (again,) = testbed.connected_clients()
-    testbed.ask(again)
+    raw.send(short_header_packet(old_cid, 100), testbed.address)
+    testbed.wait(lambda: raw.got, "a reset for an old connection ID")
+    (reconnected,) = testbed.connected_clients()
+    testbed.ask(reconnected)
 
 
-def test_a_move_decided_before_the_client_has_an_id_is_told_when_it_has(create_testbed):
+def test_migration_decided_during_setup_resets_the_client_when_it_uses_a_server_connection_id(create_testbed):
     testbed = create_testbed()
     client = testbed.client()
     testbed.wait(lambda: testbed.frontend.engine.sessions.by_id, "the session")
@@ -87,14 +88,14 @@
     assert testbed.counted("quic moved") == 1
 
 
-def test_a_fault_of_the_module_gives_its_client_an_answer_and_ends_nobody_else(create_testbed):
+def test_internal_error_closes_its_session_with_a_response_and_no_other_session(create_testbed):
     testbed = create_testbed()
-    (standing,) = testbed.connected_clients()
+    (established,) = testbed.connected_clients()
     engine, carry_out = testbed.frontend.engine, testbed.frontend.engine.session_setup._carry_out
 
     def fail(session, action):
         engine.session_setup._carry_out = carry_out
-        raise RuntimeError("a fault")
+        raise RuntimeError("injected fault")
 
     engine.session_setup._carry_out = fail
     raw = testbed.raw_endpoint()
@@ -102,26 +103,26 @@
         initial_packet(testbed.id, client_hello_frame()),
         testbed.address,
     )
-    testbed.wait(lambda: raw.got, "an answer")
+    testbed.wait(lambda: raw.got, "a response")
     assert (
         testbed.counted("internal_errors") == 1
         and engine.session_setup.pending_count == 0
         and len(engine.sessions.by_id) == 1
     )
-    testbed.ask(standing)
-    (other,) = testbed.connected_clients()
-    testbed.ask(other)
+    testbed.ask(established)
+    (newcomer,) = testbed.connected_clients()
+    testbed.ask(newcomer)
 
 
-def test_without_descriptors_nothing_is_sent_and_the_client_is_refused(create_testbed):
+def test_without_a_free_descriptor_nothing_is_sent_and_the_client_is_rejected(create_testbed):
     testbed = create_testbed(modes=(ServerMode.OK,))
     testbed.frontend.open_socket = lambda slot: False
     client = testbed.client()
-    testbed.wait(lambda: client.ended, "a refusal")
+    testbed.wait(lambda: client.ended, "a rejection")
     assert client.ended[0].error_code == CONNECTION_REFUSED and not testbed.servers[0].records.initials
 
 
-def test_cold_runners_are_protected_by_the_module(create_testbed):
+def test_slow_start_limits_the_sessions_of_a_server_that_has_just_started(create_testbed):
     testbed = create_testbed(modes=(ServerMode.OK, ServerMode.OK))
     testbed.frontend.driver.settings.rules.slow_start_duration = 24.0
     testbed.frontend.driver.configure(testbed.frontend.driver.settings)
@@ -131,31 +132,31 @@
     assert testbed.servers[1].records.connections < 6 <= testbed.servers[0].records.connections
 
 
-def test_an_attempt_that_times_out_counts_as_one_that_may_have_run(create_testbed):
+def test_attempt_at_a_silent_server_is_reported_as_timed_out(create_testbed):
     testbed = create_testbed(modes=(ServerMode.SILENT, ServerMode.OK), reply=0.4)
-    told = []
-    ended = testbed.frontend.driver.attempt_ended
+    outcomes = []
+    original = testbed.frontend.driver.attempt_ended
     testbed.frontend.driver.attempt_ended = lambda id, outcome, finished=False: (
-        told.append(outcome),
-        ended(id, outcome, finished),
+        outcomes.append(outcome),
+        original(id, outcome, finished),
     )
     for client in testbed.connected_clients(3):
         assert testbed.ask(client) == "s-1"
-    assert set(told) == {Outcome.TIMED_OUT}
+    assert set(outcomes) == {Outcome.TIMED_OUT}
 
 
-def test_floods_leave_every_table_within_its_bound(create_testbed):
+def test_floods_leave_every_table_within_its_limit_and_clients_served(create_testbed):
     more = "most_sessions = 50\nmost_pending = 20\nmost_sockets = 16\nanswers_per_s = 200"
     testbed = create_testbed(more=more, rules='[[rules]]\nsni = "x.example"\nclass = "draft-save"\n')
     engine, random, raw = testbed.frontend.engine, Random(3), testbed.raw_endpoint()
-    (usual,) = testbed.connected_clients()
-    home = testbed.ask(usual)
-    part = crypto_frame(0, client_hello(size=3000)[:900])
+    (established,) = testbed.connected_clients()
+    server = testbed.ask(established)
+    incomplete_hello = crypto_frame(0, client_hello(size=3000)[:900])
     for i in range(3000):
         kind = i % 4
         if kind == 0:
             raw.send(
-                initial_packet(random.randbytes(10), part),
+                initial_packet(random.randbytes(10), incomplete_hello),
                 testbed.address,
             )
         elif kind == 1:
@@ -175,18 +176,18 @@
     assert paths.count <= 16 * 3 and len(sessions.by_server_cid) <= 8 * 50 and len(sessions.by_client_cid) <= 100
     assert len(engine._early_zero_rtt) <= 64 and len(paths._by_client) <= paths.count
     assert sum(map(len, raw.got)) < sum(map(len, raw.sent))
-    assert testbed.ask(usual, b"still here") == home
+    assert testbed.ask(established, b"still here") == server
     testbed.run(5.0)
     (newcomer,) = testbed.connected_clients()
     testbed.ask(newcomer)
 
 
-def test_the_brief_two_balancers_restless_clients_and_a_restart(create_testbed):
-    """A short run of what `benchmarks/quic_brief.py` does for minutes with processes."""
+def test_sessions_keep_their_servers_while_clients_change_addresses_and_balancers_restart(create_testbed):
+    """A short run of what `benchmarks/quic_brief.py` does with processes for minutes."""
     testbed = create_testbed(frontends=2)
     clients = [testbed.client(link_in=Link(i, loss=0.02), link_out=Link(100 + i, loss=0.02)) for i in range(8)]
     testbed.wait(lambda: all(c.ready for c in clients), "the handshakes")
-    homes, random, started = [testbed.ask(c) for c in clients], Random(7), time.monotonic()
+    expected_servers, random, started_at = [testbed.ask(c) for c in clients], Random(7), time.monotonic()
     for turn in range(60):
         for c in clients:
             testbed.run(0.05)
@@ -198,17 +199,21 @@
                 c.frontend_address = random.choice(testbed.frontends).address
         if turn % 20 == 10:
             testbed.frontends[turn // 20 % 2].restart()
-        assert [testbed.ask(c, b"turn %d" % turn) for c in clients] == homes
-    said = [t for r in testbed.servers for t in r.records.requests if t.startswith(b"turn")]
-    assert len(said) == 60 * 8 and not any(c.reset or c.ended for c in clients)
-    assert testbed.connections_started() == 8 and time.monotonic() - started < 60
+        assert [testbed.ask(c, b"turn %d" % turn) for c in clients] == expected_servers
+    received = [t for r in testbed.servers for t in r.records.requests if t.startswith(b"turn")]
+    assert len(received) == 60 * 8 and not any(c.reset or c.ended for c in clients)
+    assert testbed.connections_started() == 8 and time.monotonic() - started_at < 60
 
 
+# Hypothesis sorts the rules and their arguments by name; other orders would change what the seed draws.
 @hypothesis.seed(
     0x21BC8D4312541ADB52C56C87CFAD29FA78692CCDD92EDAF0EF3EE9281D020882189DD5C35EE1C8E70A827EE59470B18
-)  # its seed before its names changed
-class Sessions(RuleBasedStateMachine):
-    """Any order of what clients, runners, lists and balancers do: nobody is answered twice, or by two runners."""
+)  # draws of an earlier source, which Hypothesis would otherwise derive from the source
+class SessionEvents(RuleBasedStateMachine):
+    """Events of clients, servers, the endpoint list and balancers in any order.
+
+    No request is served twice, and each session keeps its server.
+    """
 
     @initialize()
     def begin(self):
@@ -218,36 +223,36 @@
             Path(self.folder.name),
             memory=True,
         )
-        self.homes, self.turn, self.draining = {}, 0, set()
+        self.expected_servers, self.turn, self.draining = {}, 0, set()
 
     def teardown(self):
         self.testbed.close()
         self.folder.cleanup()
 
-    @precondition(lambda self: len(self.homes) < 6 and len(self.draining) < 3)
-    @rule(front=st.integers(0, 1), large=st.booleans(), version=st.sampled_from([1, 0x6B3343CF]))
-    def come(self, front, large, version):
+    @precondition(lambda self: len(self.expected_servers) < 6 and len(self.draining) < 3)
+    @rule(frontend=st.integers(0, 1), large=st.booleans(), version=st.sampled_from([1, 0x6B3343CF]))
+    def connect(self, frontend, large, version):
         (client,) = self.testbed.connected_clients(
-            frontend=self.testbed.frontends[front].address, large=large, versions=(version,)
+            frontend=self.testbed.frontends[frontend].address, large=large, versions=(version,)
         )
-        self.homes[client] = self.testbed.ask(client, b"first")
-        assert self.homes[client] not in self.draining
-
-    @precondition(lambda self: self.homes)
-    @rule(n=st.integers(0, 5), port=st.booleans(), cid=st.booleans(), front=st.integers(0, 1))
-    def go_on(self, n, port, cid, front):
-        client = list(self.homes)[n % len(self.homes)]
-        client.frontend_address = self.testbed.frontends[front].address
-        if port:
+        self.expected_servers[client] = self.testbed.ask(client, b"first")
+        assert self.expected_servers[client] not in self.draining
+
+    @precondition(lambda self: self.expected_servers)
+    @rule(n=st.integers(0, 5), rebind=st.booleans(), change_cid=st.booleans(), frontend=st.integers(0, 1))
+    def exchange(self, n, rebind, change_cid, frontend):
+        client = list(self.expected_servers)[n % len(self.expected_servers)]
+        client.frontend_address = self.testbed.frontends[frontend].address
+        if rebind:
             client.rebind()
-        if cid:
+        if change_cid:
             client.change_id()
         self.turn += 1
-        assert self.testbed.ask(client, b"turn %d" % self.turn) == self.homes[client]
+        assert self.testbed.ask(client, b"turn %d" % self.turn) == self.expected_servers[client]
 
-    @rule(front=st.integers(0, 1))
-    def restart(self, front):
-        self.testbed.frontends[front].restart()
+    @rule(frontend=st.integers(0, 1))
+    def restart(self, frontend):
+        self.testbed.frontends[frontend].restart()
 
     @rule(n=st.integers(0, 2))
     def drain_or_return(self, n):
@@ -259,17 +264,17 @@
         self.testbed.run(seconds)
 
     @invariant()
-    def nothing_is_answered_twice(self):
-        asked = [t for r in self.testbed.servers for t in r.records.requests if t.startswith(b"turn")]
-        assert len(asked) == len(set(asked))
-        assert not any(c.reset or c.ended for c in self.homes)
+    def no_request_is_served_twice(self):
+        received = [t for r in self.testbed.servers for t in r.records.requests if t.startswith(b"turn")]
+        assert len(received) == len(set(received))
+        assert not any(c.reset or c.ended for c in self.expected_servers)
         assert all(
             f.engine.session_setup.pending_count >= 0 and len(f.engine.sessions.by_id) <= 12
             for f in self.testbed.frontends
         )
 
 
-TestSessions = Sessions.TestCase
-TestSessions.settings = settings(
+TestSessionEvents = SessionEvents.TestCase
+TestSessionEvents.settings = settings(
     max_examples=30, stateful_step_count=25, deadline=None, derandomize=True, database=None
 )
--- a/tests/test_quic_hello.py
+++ b/tests/test_quic_hello.py
@@ -1,4 +1,4 @@
-"""ClientHellos in pieces, flights that are kept, and the rules that read them."""
+"""Reassembly and parsing of ClientHellos, flights, and session rules."""
 
 from random import Random
 
@@ -35,70 +35,73 @@
     return [data for data, _ in client.datagrams_to_send(now=0.0)]
 
 
-def take_all(datagrams):
+def add_all(datagrams):
+    """Adds the datagrams to a flight; returns it and the results."""
     flight = Flight(parse_long_header_packets(datagrams[0])[0].dcid)
     return flight, [flight.add_datagram(d, parse_long_header_packets(d)) for d in datagrams]
 
 
-def test_a_hello_over_several_initials_in_any_order_is_read_once_it_is_whole():
+def test_client_hello_in_several_initials_is_parsed_when_complete_in_any_order():
     datagrams = first_flight("Class-7.Draft.Example.", ("h3", "lines"), large=True)
     assert len(datagrams) > 1
     for order in (datagrams, datagrams[::-1]):
-        flight, taken = take_all(order)
-        assert taken == [AddResult.STORED] * len(order)
+        flight, results = add_all(order)
+        assert results == [AddResult.STORED] * len(order)
         assert flight.client_hello == ClientHello("class-7.draft.example", ("h3", "lines"))
         assert flight.datagrams == order
-        assert (
-            flight.add_datagram(order[0], parse_long_header_packets(order[0])) is AddResult.DROPPED
-        )  # the network's copy
-    flight, _ = take_all(datagrams[1:])
+        # An exact copy of a datagram is a duplicate made by the network.
+        assert flight.add_datagram(order[0], parse_long_header_packets(order[0])) is AddResult.DROPPED
+    flight, _ = add_all(datagrams[1:])
     assert flight.client_hello is None
 
 
-def test_what_no_key_opens_is_not_kept_and_0_rtt_goes_last():
+def test_datagram_without_a_valid_packet_is_dropped_and_zero_rtt_is_sent_last():
     (datagram,) = first_flight()
     other = first_flight()[0]
-    early = bytes([0xD0]) + datagram[1:6] + datagram[6:14] + datagram[14:15] + datagram[15:23] + b"\x14" + bytes(20)
-    assert parse_long_header_packets(early)[0].type.name == "ZERO_RTT"
+    zero_rtt = (
+        bytes([0xD0]) + datagram[1:6] + datagram[6:14] + datagram[14:15] + datagram[15:23] + b"\x14" + bytes(20)
+    )
+    assert parse_long_header_packets(zero_rtt)[0].type.name == "ZERO_RTT"
     flight = Flight(parse_long_header_packets(datagram)[0].dcid)
-    assert flight.add_datagram(early, parse_long_header_packets(early)) is AddResult.STORED
+    assert flight.add_datagram(zero_rtt, parse_long_header_packets(zero_rtt)) is AddResult.STORED
     assert flight.add_datagram(other, parse_long_header_packets(other)) is AddResult.DROPPED
     assert flight.add_datagram(datagram, parse_long_header_packets(datagram)) is AddResult.STORED
-    assert flight.datagrams == [datagram, early]
+    assert flight.datagrams == [datagram, zero_rtt]
 
 
+# A derandomized test draws by the hash of its source; the seeds keep the draws of an earlier source.
 @hypothesis.seed(0x4F6258B735D51101A8DC7C912F4AA626A8D14DBFA185E6135F7EFAF8C8CABF72B56C1C43E3ED95ED90C34DFCF5D83201)
 @given(st.binary(min_size=1, max_size=300), st.integers(0, 1000))
-def test_pieces_in_any_order_and_overlap_make_the_stream(octets, seed):
+def test_pieces_in_any_order_and_with_any_overlap_are_reassembled(content, seed):
     random = Random(seed)
-    stream = b"\x01" + len(octets).to_bytes(3, "big") + octets
+    stream = b"\x01" + len(content).to_bytes(3, "big") + content
     crypto_stream, missing = CryptoStreamReassembler(), set(range(len(stream)))
     while missing:
         start = random.randrange(len(stream))
         end = min(len(stream), start + random.randint(1, 120))
-        new = crypto_stream.add(start, stream[start:end])
-        assert new or not missing & set(range(start, end))  # what is new is never passed over
+        is_new = crypto_stream.add(start, stream[start:end])
+        assert is_new or not missing & set(range(start, end))  # new data is always reported as new
         missing -= set(range(start, end))
         if missing:
             assert crypto_stream.first_message() is None
     assert crypto_stream.first_message() == stream
 
 
-def test_reassembly_is_bounded_in_octets_and_pieces():
+def test_client_hello_over_a_size_or_piece_limit_or_of_another_type_is_rejected():
     with pytest.raises(ClientHelloError, match="larger than 16384 bytes"):
         CryptoStreamReassembler().add(MAX_CLIENT_HELLO_BYTES - 1, b"xx")
-    apart = CryptoStreamReassembler()
+    separate = CryptoStreamReassembler()
     with pytest.raises(ClientHelloError, match="pieces"):
         for i in range(MAX_PIECES + 1):
-            apart.add(10 + 2 * i, b"x")
+            separate.add(10 + 2 * i, b"x")
     large = CryptoStreamReassembler()
     large.add(0, b"\x01\xff\xff\xff")
     with pytest.raises(ClientHelloError, match="larger than 16384 bytes"):
         large.first_message()
-    other = CryptoStreamReassembler()
-    other.add(0, b"\x02")
+    other_type = CryptoStreamReassembler()
+    other_type.add(0, b"\x02")
     with pytest.raises(ClientHelloError, match="not a ClientHello"):
-        other.first_message()
+        other_type.first_message()
     flight, random = Flight(b"12345678"), Random(1)
     for _ in range(100):
         data = random.randbytes(1200)
@@ -111,15 +114,15 @@
 
 @hypothesis.seed(0x73D50926EBC38ADD658D188DF4305CA2DFA847ED247C340F77BABE99F6A8195F4B1548082980A8501CE7C2BD402E2A5)
 @given(st.binary(max_size=200), st.integers(0, 60))
-def test_a_hello_of_any_octets_is_read_or_refused(garbage, at):
-    flight, _ = take_all(first_flight())
+def test_any_client_hello_bytes_are_parsed_within_bounds_or_rejected(garbage, offset):
+    flight, _ = add_all(first_flight())
     message = flight._crypto_stream.first_message()
-    for data in (garbage, message[:at] + garbage + message[at + len(garbage) :]):
+    for data in (garbage, message[:offset] + garbage + message[offset + len(garbage) :]):
         try:
-            hello = parse_client_hello(data)
+            client_hello = parse_client_hello(data)
         except ClientHelloError:
             continue
-        assert len(hello.server_name) <= 253 and len(hello.alpn) <= 16
+        assert len(client_hello.server_name) <= 253 and len(client_hello.alpn) <= 16
 
 
 RULES = {
@@ -133,13 +136,13 @@
 
 
 @pytest.mark.parametrize(
-    ("hello", "chosen"),
+    ("client_hello", "expected"),
     [
         (ClientHello("draft.example"), (1, None)),
         (ClientHello("5c.run.example", ("x", "h3")), (0, "5c")),
         (ClientHello("run.example", ("h3",)), (0, "run")),
-        (ClientHello("class-8b.run.example", ("other",)), (0, "8b")),  # the second rule wants another protocol
-        (ClientHello("a.draft.example"), (0, None)),  # a name of the third rule, without its token
+        (ClientHello("class-8b.run.example", ("other",)), (0, "8b")),  # the second rule requires another protocol
+        (ClientHello("a.draft.example"), (0, None)),  # the third rule matches, but its pattern does not
         (ClientHello("", ("lines/7",)), (1, "7")),
         (ClientHello("example"), (0, None)),
         (ClientHello("notexample"), (0, None)),
@@ -147,8 +150,8 @@
         (ClientHello(), (0, None)),
     ],
 )
-def test_rules_give_class_and_group(hello, chosen):
-    assert parse_rules(RULES, CLASSES, 0).classify(hello) == chosen
+def test_first_matching_rule_gives_class_and_group(client_hello, expected):
+    assert parse_rules(RULES, CLASSES, 0).classify(client_hello) == expected
 
 
 @pytest.mark.parametrize(
@@ -169,6 +172,6 @@
         ("x", "sni"),
     ],
 )
-def test_wrong_rules_name_the_field(rule, field):
+def test_error_in_a_rule_names_the_field(rule, field):
     with pytest.raises(DecodeError, match=rf"rules\[1\]\.{field}"):
         parse_rules({"rules": [{"sni": "x", "class": "test-run"}, rule]}, CLASSES, 0)
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -1,4 +1,4 @@
-"""Routable ids: the draft's own vectors, all forms, rolling keys, and who an id belongs to."""
+"""Routable connection IDs: the draft's test vectors, all formats, key rotation and the lookup of servers."""
 
 import hypothesis
 import pytest
@@ -9,8 +9,8 @@
 from aspensaddle.frontends.quic.connection_ids import IdFormat, derive_stateless_reset_token
 from aspensaddle.frontends.quic.packets import MIN_STATELESS_RESET_BYTES, encode_stateless_reset
 
-KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")  # of the draft's appendix B
-VECTORS = [  # rotation, server id, nonce, key, the id
+KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")  # key of the draft's appendix B
+VECTORS = [  # config rotation, server ID, nonce, key, connection ID
     (0, "c4605e", "4504cc4f", None, "07c4605e4504cc4f"),
     (0, "ed793a", "ee080dbf", KEY, "0720b1d07b359d3c"),
     (1, "ed793a51d49b8f5fab65", "ee080dbf48", KEY, "2fcc381bc74cb4fbad2823a3d1f8fed2"),
@@ -20,29 +20,30 @@
 
 
 @pytest.mark.parametrize(("rotation", "server_id", "nonce", "key", "cid"), VECTORS)
-def test_the_draft_s_vectors(rotation, server_id, nonce, key, cid):
+def test_connection_ids_match_the_test_vectors_of_the_draft(rotation, server_id, nonce, key, cid):
     server_id, nonce, cid = map(bytes.fromhex, (server_id, nonce, cid))
-    form = IdFormat(rotation, len(server_id), len(nonce), key, self_length=True)
-    made = form.encode(server_id, nonce)
-    assert made == cid and form.matches(cid) and form.decode(cid) == server_id
+    id_format = IdFormat(rotation, len(server_id), len(nonce), key, self_length=True)
+    encoded = id_format.encode(server_id, nonce)
+    assert encoded == cid and id_format.matches(cid) and id_format.decode(cid) == server_id
 
 
-FORMS = [
+FORMATS = [
     IdFormat(r % 7, s, n, key, r % 2 == 0)
     for r, (s, n) in enumerate((s, n) for s in range(1, 16) for n in range(4, 20 - s))
     for key in (None, KEY)
 ]
 
 
+# A derandomized test draws by the hash of its source; the seeds keep the draws of an earlier source.
 @hypothesis.seed(0x835DE2B9367853CED2E403182EABC58A035B5BB38314B22B623EC2B8B202D20FF973B9E85B5616690BE99490F007E32C)
-@given(st.sampled_from(FORMS), st.binary(min_size=15, max_size=15))
-def test_every_legal_form_reads_what_it_wrote(form, octets):
-    server_id = octets[: form.server_id_length]
-    cid = form.encode(server_id)
-    assert len(cid) == form.length <= 20 and cid[0] >> 5 == form.rotation
-    assert form.matches(cid) and form.decode(cid) == server_id
-    assert not form.matches(cid + b"x") and not form.matches(cid[:-1])
-    assert form.key is None or cid != form.encode(server_id)
+@given(st.sampled_from(FORMATS), st.binary(min_size=15, max_size=15))
+def test_every_format_decodes_and_matches_the_connection_ids_that_it_encodes(id_format, random_bytes):
+    server_id = random_bytes[: id_format.server_id_length]
+    cid = id_format.encode(server_id)
+    assert len(cid) == id_format.length <= 20 and cid[0] >> 5 == id_format.rotation
+    assert id_format.matches(cid) and id_format.decode(cid) == server_id
+    assert not id_format.matches(cid + b"x") and not id_format.matches(cid[:-1])
+    assert id_format.key is None or cid != id_format.encode(server_id)
 
 
 @pytest.mark.parametrize(
@@ -56,77 +57,85 @@
         {"key": b"short"},
     ],
 )
-def test_impossible_formats_are_refused(wrong):
+def test_format_with_a_value_out_of_range_is_rejected(wrong):
     with pytest.raises(ValueError, match="must"):
         IdFormat(**{"rotation": 1, "server_id_length": 2, "nonce_length": 6, **wrong})
 
 
-def config(rotation, names, key=KEY, retire_at=None, **more):
-    form = IdFormat(rotation, 2, more.pop("nonce", 6), key, **more)
-    return IdConfig(form, {bytes([0, n]): uid for n, uid in names.items()}, retire_at)
+def config(rotation, uids, key=KEY, retire_at=None, **more):
+    id_format = IdFormat(rotation, 2, more.pop("nonce", 6), key, **more)
+    return IdConfig(id_format, {bytes([0, n]): uid for n, uid in uids.items()}, retire_at)
 
 
-def kind(directory, cid, unix_time=0.0):
-    reading = directory.look_up(cid, unix_time)
-    return reading.uid or reading.kind
+def uid_or_kind(directory, cid, unix_time=0.0):
+    info = directory.look_up(cid, unix_time)
+    return info.uid or info.kind
 
 
-def test_three_configurations_stand_side_by_side_each_with_server_ids_of_its_own():
+def test_three_configurations_are_used_at_once_each_with_its_own_server_ids():
     plain, old, new = config(0, {1: "a", 2: "b"}, None), config(3, {1: "b", 2: "a"}), config(6, {7: "a"}, nonce=14)
     directory = ConnectionIdDirectory([plain, old, new])
     for c in (plain, old, new):
         for server_id, uid in c.uids.items():
             cid = c.format.encode(server_id)
-            assert kind(directory, cid) == uid
+            assert uid_or_kind(directory, cid) == uid
             assert directory.extract(cid + b"the rest") == cid and directory.extract(cid[:-1]) is None
-    assert kind(directory, old.format.encode(b"\0\1")) == "b" != kind(directory, plain.format.encode(b"\0\1"))
-
-
-def test_strangers_the_departed_the_unroutable_and_the_foreign_are_told_apart():
-    before = ConnectionIdDirectory([config(2, {1: "a", 2: "b"})])
-    form = before.configs[2].format
-    now = ConnectionIdDirectory([config(2, {1: "a"})], previous=before)
-    later = ConnectionIdDirectory([config(2, {1: "a"})], previous=now)
-    for directory in (now, later):
-        assert kind(directory, form.encode(b"\0\1")) == "a"
-        assert directory.look_up(form.encode(b"\0\2"), 0).kind is ConnectionIdKind.REMOVED_SERVER
-        assert kind(directory, form.encode(b"\0\3")) is ConnectionIdKind.UNKNOWN_SERVER
-        assert kind(directory, b"\xe0" + bytes(9)) is ConnectionIdKind.UNROUTABLE
-        assert kind(directory, b"\x20" + bytes(9)) is ConnectionIdKind.UNKNOWN_CONFIG is kind(directory, b"")
-        assert kind(directory, form.encode(b"\0\1") + b"x") is ConnectionIdKind.UNKNOWN_CONFIG
-    back = ConnectionIdDirectory([config(2, {1: "a", 2: "b"})], previous=later)
-    assert kind(back, form.encode(b"\0\2")) == "b"
-
-
-def test_a_rolled_key_reads_both_until_the_old_one_is_retired():
+    assert (
+        uid_or_kind(directory, old.format.encode(b"\0\1"))
+        == "b"
+        != uid_or_kind(directory, plain.format.encode(b"\0\1"))
+    )
+
+
+def test_kinds_of_connection_ids_without_a_configured_server_are_distinguished():
+    first = ConnectionIdDirectory([config(2, {1: "a", 2: "b"})])
+    id_format = first.configs[2].format
+    second = ConnectionIdDirectory([config(2, {1: "a"})], previous=first)
+    third = ConnectionIdDirectory([config(2, {1: "a"})], previous=second)
+    for directory in (second, third):
+        assert uid_or_kind(directory, id_format.encode(b"\0\1")) == "a"
+        assert directory.look_up(id_format.encode(b"\0\2"), 0).kind is ConnectionIdKind.REMOVED_SERVER
+        assert uid_or_kind(directory, id_format.encode(b"\0\3")) is ConnectionIdKind.UNKNOWN_SERVER
+        assert uid_or_kind(directory, b"\xe0" + bytes(9)) is ConnectionIdKind.UNROUTABLE
+        assert (
+            uid_or_kind(directory, b"\x20" + bytes(9))
+            is ConnectionIdKind.UNKNOWN_CONFIG
+            is uid_or_kind(directory, b"")
+        )
+        assert uid_or_kind(directory, id_format.encode(b"\0\1") + b"x") is ConnectionIdKind.UNKNOWN_CONFIG
+    restored = ConnectionIdDirectory([config(2, {1: "a", 2: "b"})], previous=third)
+    assert uid_or_kind(restored, id_format.encode(b"\0\2")) == "b"
+
+
+def test_old_and_new_key_are_decoded_until_the_old_configuration_is_retired():
     old, new = config(0, {1: "a"}, retire_at=100.0), config(1, {1: "a"}, key=bytes(16))
     directory = ConnectionIdDirectory([old, new])
-    ids = old.format.encode(b"\0\1"), new.format.encode(b"\0\1")
-    assert [kind(directory, i, 99.9) for i in ids] == ["a", "a"] and not directory.has_newly_retired(99.9)
-    assert [kind(directory, i, 100.0) for i in ids] == [ConnectionIdKind.RETIRED_CONFIG, "a"]
+    cids = old.format.encode(b"\0\1"), new.format.encode(b"\0\1")
+    assert [uid_or_kind(directory, i, 99.9) for i in cids] == ["a", "a"] and not directory.has_newly_retired(99.9)
+    assert [uid_or_kind(directory, i, 100.0) for i in cids] == [ConnectionIdKind.RETIRED_CONFIG, "a"]
     assert directory.has_newly_retired(100.0) and not directory.has_newly_retired(101.0)
-    assert not directory.may_identify_session(ids[0], 100.0) and directory.may_identify_session(ids[1], 100.0)
+    assert not directory.may_identify_session(cids[0], 100.0) and directory.may_identify_session(cids[1], 100.0)
 
 
-def test_an_id_that_lies_about_its_length_is_none():
+def test_connection_id_whose_length_field_is_wrong_belongs_to_no_configuration():
     directory = ConnectionIdDirectory([config(4, {1: "a"}, self_length=True)])
     cid = directory.configs[4].format.encode(b"\0\1")
-    assert kind(directory, cid) == "a"
-    assert kind(directory, bytes([cid[0] ^ 1]) + cid[1:]) is ConnectionIdKind.UNKNOWN_CONFIG
+    assert uid_or_kind(directory, cid) == "a"
+    assert uid_or_kind(directory, bytes([cid[0] ^ 1]) + cid[1:]) is ConnectionIdKind.UNKNOWN_CONFIG
 
 
 @hypothesis.seed(0xA5080C308BCEB524EB88062641426944ED5A90DAFF46DFD8AAF09FBD1FAA05BD915662D514B43A87A5CAFDD8AF90BF36)
 @given(st.binary(max_size=24))
-def test_any_octets_are_read_as_something(data):
+def test_any_bytes_are_looked_up_and_extracted_without_an_error(data):
     directory = ConnectionIdDirectory([config(1, {1: "a"}), config(4, {1: "a"}, nonce=14)], unroutable_length=9)
     directory.look_up(data, 0.0)
-    cut = directory.extract(data)
-    assert cut is None or data.startswith(cut) and len(cut) in (9, 17)
+    extracted = directory.extract(data)
+    assert extracted is None or data.startswith(extracted) and len(extracted) in (9, 17)
 
 
 @hypothesis.seed(0x3580BD96292153F36F2B5F7F35E848B6318AA5932B370A1AB38673268B675DAB8F32327E6EC2A77227D3380060618540)
 @given(st.integers(0, 2000))
-def test_a_reset_is_smaller_than_what_calls_for_it(size):
+def test_stateless_reset_is_smaller_than_the_datagram_that_triggers_it(size):
     token = derive_stateless_reset_token(KEY, b"an id")
     reset = encode_stateless_reset(token, size)
     assert (reset is None) == (size <= MIN_STATELESS_RESET_BYTES)
--- a/tests/test_quic_parsers.py
+++ b/tests/test_quic_parsers.py
@@ -1,4 +1,4 @@
-"""Headers, Initials and the operator's file: what is valid is read, and nothing else does harm."""
+"""Parsing of packet headers, Initials and the operator's file: valid input is read, other input is rejected."""
 
 from contextlib import suppress
 
@@ -70,24 +70,25 @@
 KEYS = InitialKeys(PACKET.dcid)
 
 
-def test_an_initial_opens_under_the_id_it_was_sent_to_and_no_other():
+def test_initial_is_decrypted_by_keys_of_its_own_connection_id_and_side_only():
     frames = KEYS.decrypt(PACKET, from_client=True)
     assert frames and frames.crypto and frames.close_code is None
     assert InitialKeys(PACKET.dcid[::-1]).decrypt(PACKET, from_client=True) is None
     assert KEYS.decrypt(PACKET, from_client=False) is None
 
 
-def test_a_refusal_is_read_by_the_client_it_is_for():
+def test_rejection_is_decrypted_by_the_client_that_it_is_for():
     data = KEYS.encode_close(PACKET.version, PACKET.scid, 2, b"BUSY 350")
     (packet,) = parse_long_header_packets(data)
     assert KEYS.decrypt(packet, from_client=False).close_code == 2
     assert len(data) < 3 * len(DATAGRAM)
 
 
+# A derandomized test draws by the hash of its source; the seeds keep the draws of an earlier source.
 @hypothesis.seed(0x1141D6B55B7378BC2010D482DF29ED4B43001D450E1FD7C94599B5F931FDB207C09B0BC6B0DBC22C00A4A85D0761ECF5)
 @given(st.integers(0, 1300), st.integers(0, 40), st.binary(max_size=40))
-def test_a_changed_datagram_is_never_taken_for_a_first_one(at, cut, new):
-    data = DATAGRAM[:at] + new + DATAGRAM[at + cut :]
+def test_modified_initial_is_never_decrypted(offset, removed, inserted):
+    data = DATAGRAM[:offset] + inserted + DATAGRAM[offset + removed :]
     try:
         parse_invariants(data)
     except MalformedPacketError:
@@ -99,7 +100,7 @@
 
 @hypothesis.seed(0xE272A963748031B71B3CDCFB7C59852EB68AAF5184D57DF82B84C0584E9D445DC8B8AC9AB8B10B42BE4E01F7D8B279F6)
 @given(st.binary(max_size=100))
-def test_garbage_datagrams_are_read_or_refused(data):
+def test_any_datagram_is_parsed_or_rejected_as_malformed(data):
     with suppress(MalformedPacketError):
         parse_invariants(data)
     is_version_negotiation_for(data, 1, b"12345678", b"abc")
@@ -107,7 +108,7 @@
         assert not packet.is_retry_for(b"12345678")
 
 
-def test_a_negotiation_counts_only_with_the_ids_and_without_the_version():
+def test_version_negotiation_is_valid_only_with_the_connection_ids_and_without_the_version_of_the_initial():
     def negotiation(dcid, scid, versions):
         return encode_quic_version_negotiation(source_cid=dcid, destination_cid=scid, supported_versions=versions)
 
@@ -117,7 +118,7 @@
     assert not is_version_negotiation_for(negotiation(b"d" * 8, b"s", []), 1, b"d" * 8, b"s")
 
 
-# ---------------------------------------------------------------- the operator's file
+# The operator's file
 
 
 def load(folder, toml=TOML, keys=TOKEN_KEYS):
@@ -126,7 +127,7 @@
     return load_quic_settings(folder / "quic.toml", CLASSES)
 
 
-def test_the_file_is_read(tmp_path):
+def test_valid_file_is_loaded_and_a_missing_or_disabled_one_gives_no_settings(tmp_path):
     settings = load(tmp_path)
     assert [c.format.algorithm for c in settings.ids] == ["plaintext", "four-pass"]
     assert settings.ids[0].uids == {b"\0\1": "s-1"}
@@ -161,14 +162,14 @@
         ("idle_s = 30", "unroutable_length = 5", 5, "unroutable_length"),
     ],
 )
-def test_wrong_settings_name_file_line_and_field(tmp_path, old, new, line, field):
+def test_error_in_the_settings_names_file_line_and_field(tmp_path, old, new, line, field):
     assert old in TOML
     with pytest.raises(ConfigError, match=rf"quic\.toml:{line}: {field}\b"):
         load(tmp_path, TOML.replace(old, new, 1))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "where"),
+    ("old", "new", "location"),
     [
         ("sequence = 2", "sequence = 200", r"keys\.toml:6: keys\[1\]\.sequence"),
         ("sequence = 2", "sequence = 1", r"keys\.toml:1: keys: sequence 1 is used twice"),
@@ -176,12 +177,12 @@
         ("since = 2026", "since = 2026-12-01 #", r"keys\[1\]\.since"),
     ],
 )
-def test_wrong_token_keys_name_file_line_and_field(tmp_path, old, new, where):
-    with pytest.raises(ConfigError, match=where):
+def test_error_in_the_key_file_names_file_line_and_field(tmp_path, old, new, location):
+    with pytest.raises(ConfigError, match=location):
         load(tmp_path, keys=TOKEN_KEYS.replace(old, new, 1))
 
 
 @hypothesis.seed(0xB658D7D22A2572B95712112E7B9713FC540B691DC4778A30E26119A6EEEC287348AD37D5808BE33E13CAAE249098B92E)
 @given(st.text(max_size=200), st.text(max_size=40))
-def test_the_search_for_a_line_reads_anything(source, field):
+def test_line_of_any_field_in_any_source_is_within_the_source(source, field):
     assert 0 <= line_of(source, field) <= source.count("\n") + len(source.splitlines()) + 1
