--- a/aspensaddle/conformance/memory_frontend.py
+++ b/aspensaddle/conformance/memory_frontend.py
@@ -86,14 +86,14 @@
         path.write_text(toml.replace("LISTEN", f"{self.address[0]}:{self.address[1]}"))
         return path
 
-    # Wire of the engine, and the other side of its sockets
+    # Transport of the engine, and the other side of its sockets
 
-    def send_to_client(self, data: bytes, peer: Address) -> None:
-        """Send a datagram to a client (the engine's wire)."""
-        self.net.carry(data, self.address, peer)
+    def send_to_client(self, data: bytes, client_address: Address) -> None:
+        """Send a datagram to a client (the engine's transport)."""
+        self.net.carry(data, self.address, client_address)
 
     def send_to_server(self, data: bytes, path: QuicPath) -> None:
-        """Send a datagram to a server (the engine's wire)."""
+        """Send a datagram to a server (the engine's transport)."""
         if self.net.reaches(path.server_address):
             self.net.carry(data, self._slot_address(path.slot), path.server_address)
         else:
@@ -101,7 +101,7 @@
             self.net.later(UNREACHABLE_DELAY, lambda: self.engine.handle_unreachable_server(slot, server_address))
 
     def open_socket(self, slot: int) -> bool:
-        """Open a socket towards the servers; return whether there is one (the engine's wire)."""
+        """Open a socket towards the servers; return whether there is one (the engine's transport)."""
         if slot not in self._slots:
             self._slots.add(slot)
             self.net.claim(_Slot(self, slot), [self._slot_address(slot)])
--- a/aspensaddle/frontends/quic/address_validation.py
+++ b/aspensaddle/frontends/quic/address_validation.py
@@ -26,7 +26,7 @@
                 always, infinity never.
             max_pending: session setups that are allowed at once.
         """
-        self.max_rate, self.max_pending = max_per_second, max_pending
+        self.max_per_second, self.max_pending = max_per_second, max_pending
         self._buckets: deque[tuple[int, int]] = deque()  # bucket number and its count of Initials
         self._initials_in_window = 0  # sum over all buckets
         self._is_active = False
@@ -45,13 +45,13 @@
             self._buckets.append((bucket, 0))
         self._buckets[-1] = bucket, self._buckets[-1][1] + 1
         self._initials_in_window += 1
-        if self._initials_in_window > self.max_rate or pending >= self.max_pending * PENDING_SHARE:
+        if self._initials_in_window > self.max_per_second or pending >= self.max_pending * PENDING_SHARE:
             self._is_active, self._last_above_half_at = True, now
-        elif self._initials_in_window > self.max_rate / 2 or pending >= self.max_pending * PENDING_SHARE / 2:
+        elif self._initials_in_window > self.max_per_second / 2 or pending >= self.max_pending * PENDING_SHARE / 2:
             self._last_above_half_at = now
         elif now - self._last_above_half_at >= MIN_CALM_SECONDS:
             self._is_active = False
-        return self._is_active and self.max_rate != float("inf")
+        return self._is_active and self.max_per_second != float("inf")
 
     def _drop_old_buckets(self, bucket: int) -> None:
         while self._buckets and self._buckets[0][0] <= bucket - BUCKETS_PER_SECOND:
--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -40,5 +40,5 @@
     log: Log
     transport: Transport
     unix_time: Callable[[], float]  # in seconds; all balancers share this clock
-    now: float = 0.0  # in seconds of a monotonic clock; updated before each step
+    now: float = 0.0  # in seconds of a monotonic clock; set by `Engine.advance`
     shutting_down: bool = False
