--- a/aspensaddle/frontends/quic/packets.py
+++ b/aspensaddle/frontends/quic/packets.py
@@ -34,7 +34,7 @@
 class InvariantHeader:
     """The header fields of a datagram's first packet that are the same in every QUIC version (RFC 8999)."""
 
-    long: bool
+    is_long: bool
     version: int
     dcid: bytes  # with a short header: everything after the first byte
     scid: bytes
@@ -149,7 +149,7 @@
     version_list = data[7 + len(header.dcid) + len(header.scid) :]
     versions = {int.from_bytes(version_list[i : i + 4], "big") for i in range(0, len(version_list) - 3, 4)}
     return (
-        header.long
+        header.is_long
         and header.version == 0
         and (header.dcid, header.scid) == (scid, dcid)
         and bool(versions)
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -68,9 +68,9 @@
 
     session: Session
     client_address: ClientAddress
-    server: int
+    server: int  # its number in the endpoint registry
     server_address: ServerAddress
-    slot: int
+    slot: int  # the local socket that represents the client at the server
     last_used_at: float  # when a datagram last passed in either direction, in seconds of the context's clock
     dcid: bytes = b""  # the latest routable connection ID that the client used on it
     last_datagram_bytes: int = 0  # size of the client's latest datagram
@@ -113,7 +113,7 @@
 
     id: str
     pending_actions: list[tuple[Session, RequestAction]]  # shared by all sessions, in the order of the decisions
-    server: int = -1  # set when the session is established
+    server: int = -1  # its number in the endpoint registry, set when the session is established
     setup: SetupState | None = None
     path: Path | None = None  # the path that the client used last
     other_paths: list[Path] | None = None  # earlier paths, oldest first
@@ -124,7 +124,7 @@
     bytes_from_server: int = 0  # counted until an adopted session is confirmed
     server_has_replied: bool = False  # since this process established or adopted the session
     migrating: bool = False
-    by_address: bool = False  # the server's connection IDs are not routable: found by the client's address
+    routed_by_address: bool = False  # its connection IDs are not routable, so the client's address identifies it
     ended: bool = False
 
     def act(self, action: RequestAction) -> None:
@@ -143,8 +143,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEnd:
-    """How an established session ended. `note` is the reason in the log."""
+    """How an established session ended. `reason` is logged."""
 
     outcome: Outcome
     send_reset: bool  # whether the client is sent a stateless reset, so that it reconnects at once
-    note: str
+    reason: str
--- a/aspensaddle/frontends/quic/session_setup.py
+++ b/aspensaddle/frontends/quic/session_setup.py
@@ -270,7 +270,7 @@
             # Connection IDs that are not routable are found by an exact match only. After the client changes to one
             # that is not known here, it is found by its address.
             context.counters.add("quic by address")
-            session.by_address = True
+            session.routed_by_address = True
             if path.amplification_limit is not None and not scid:
                 path.amplification_limit.validating_cid = None
             self.sessions.add_cid(session, scid)
--- a/aspensaddle/frontends/quic/session_table.py
+++ b/aspensaddle/frontends/quic/session_table.py
@@ -156,7 +156,7 @@
                 return None
             if session.path is not None:
                 self.context.counters.add("quic paths changed")
-            if session.by_address:
+            if session.routed_by_address:
                 self.by_address[client_address] = session
         self.use_path(session, path)
         return path
@@ -198,7 +198,7 @@
         if session.ended:
             return
         self.context.counters.add("quic moved" if end is MIGRATED else f"quic ended {end.outcome.label}")
-        self.context.log.event("quic ended", id=session.id, why=end.note)
+        self.context.log.event("quic ended", id=session.id, why=end.reason)
         if end.send_reset:
             for dcid in session.cids:
                 self.reset_cids.put(dcid, True, self.context.now)
