--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the front share: the settings in force, the time, the driver, and the way out."""
+"""State that the modules of the front end share: settings, time, the driver and the transport."""
 
 from __future__ import annotations
 
@@ -8,31 +8,37 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
-from aspensaddle.frontends.quic.directory import Directory
-from aspensaddle.frontends.quic.session import Path, Peer
+from aspensaddle.frontends.quic.connection_id_directory import ConnectionIdDirectory
+from aspensaddle.frontends.quic.session import ClientAddress, Path
 from aspensaddle.frontends.quic.settings import QuicSettings
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
 
-class Wire(Protocol):
-    """The way out. What can't be sent is lost, as any datagram may be."""
+class Transport(Protocol):
+    """Sends datagrams. One that cannot be sent is lost, as any datagram may be."""
 
-    def to_client(self, data: bytes, peer: Peer) -> None: ...
-    def to_runner(self, data: bytes, path: Path) -> None: ...
-    def open(self, slot: int) -> bool:
-        """Have a socket under this number; False where there is no descriptor for one."""
+    def send_to_client(self, data: bytes, client_address: ClientAddress) -> None:
+        """Send a datagram from the listening socket to a client."""
+
+    def send_to_server(self, data: bytes, path: Path) -> None:
+        """Send a datagram from the path's socket to its server."""
+
+    def open_socket(self, slot: int) -> bool:
+        """Open the socket with this slot number unless it is open; return False without a free descriptor."""
 
 
 @dataclass(slots=True)
 class Context:
+    """State that the modules of the front end share."""
+
     settings: QuicSettings
-    directory: Directory
+    directory: ConnectionIdDirectory
     driver: Driver
-    fleet: EndpointRegistry
+    endpoints: EndpointRegistry
     counters: Counters
     log: Log
-    wire: Wire
-    unix: Callable[[], float]  # seconds; what balancers have in common
-    now: float = 0.0  # seconds of a clock that only goes forward, told before each step
-    closing: bool = False
+    transport: Transport
+    unix_time: Callable[[], float]  # in seconds; all balancers share this clock
+    now: float = 0.0  # in seconds of a monotonic clock; set by `Engine.advance`
+    shutting_down: bool = False
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -1,7 +1,7 @@
-"""Where a datagram goes: the front without sockets and time.
+"""Routes datagrams between clients and servers, without sockets and without a clock of its own.
 
-A datagram finds its runner by the id it is sent to: first by what is remembered of sessions, then by the server
-id within a routable one, which needs no memory at all. What opens a connection is placed (`placing.py`).
+A datagram is routed by its Destination Connection ID: by the sessions in memory first, then by the server ID in a
+routable connection ID, which needs no memory. A connection's first Initial starts a session (`session_setup.py`).
 """
 
 from __future__ import annotations
@@ -12,244 +12,283 @@
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
-from aspensaddle.frontends.quic.answers import Answers
-from aspensaddle.frontends.quic.context import Context, Wire
-from aspensaddle.frontends.quic.directory import Directory, Kind
+from aspensaddle.frontends.quic.address_validation import AddressValidationPolicy
+from aspensaddle.frontends.quic.connection_id_directory import ConnectionIdDirectory, ConnectionIdKind
+from aspensaddle.frontends.quic.context import Context, Transport
 from aspensaddle.frontends.quic.flight import Flight
-from aspensaddle.frontends.quic.gate import Gate
+from aspensaddle.frontends.quic.limits import ExpiringMap, RateLimiter
 from aspensaddle.frontends.quic.packets import (
-    FIRST_DATAGRAM,
-    LEAST_CHOSEN,
-    VERSIONS,
-    Malformed,
+    MIN_CLIENT_CHOSEN_DCID_BYTES,
+    MIN_INITIAL_DATAGRAM_BYTES,
+    SUPPORTED_VERSIONS,
+    MalformedPacketError,
     Packet,
-    long_packets,
     parse_invariants,
+    parse_long_header_packets,
 )
-from aspensaddle.frontends.quic.paths import Paths
-from aspensaddle.frontends.quic.placing import Placements
-from aspensaddle.frontends.quic.session import Peer, Runner
-from aspensaddle.frontends.quic.sessions import Sessions
+from aspensaddle.frontends.quic.path_table import PathTable
+from aspensaddle.frontends.quic.responder import Responder
+from aspensaddle.frontends.quic.retry_tokens import TokenVerdict
+from aspensaddle.frontends.quic.session import ClientAddress, ServerAddress
+from aspensaddle.frontends.quic.session_setup import SessionSetup
+from aspensaddle.frontends.quic.session_table import SessionTable
 from aspensaddle.frontends.quic.settings import QuicSettings
-from aspensaddle.frontends.quic.tables import Allowance, Expiring
-from aspensaddle.frontends.quic.tokens import Verdict
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-ORPHANS, ORPHANS_OF_ID, ORPHANED_FOR = 64, 4, 0.5  # ids whose 0-RTT came before its Initial; datagrams; seconds
+# Limits for 0-RTT datagrams that arrive before their Initial: the number of connection IDs, of datagrams to each, and
+# the time for which they are kept
+MAX_EARLY_ZERO_RTT_CIDS, MAX_EARLY_ZERO_RTT_DATAGRAMS, EARLY_ZERO_RTT_SECONDS = 64, 4, 0.5
 
 
 class Engine:
+    """Routes datagrams, and creates and connects the parts of the front end."""
+
     def __init__(
         self,
         settings: QuicSettings,
         driver: Driver,
-        fleet: EndpointRegistry,
+        endpoints: EndpointRegistry,
         counters: Counters,
         log: Log,
-        wire: Wire,
-        unix: Callable[[], float],
+        transport: Transport,
+        unix_time: Callable[[], float],
         now: float,
     ) -> None:
-        directory = Directory(settings.ids, settings.unroutable_length)
-        self.ctx = Context(settings, directory, driver, fleet, counters, log, wire, unix, now)
-        self.paths = Paths(self.ctx)
-        self.answers = Answers(self.ctx)
-        self.sessions = Sessions(self.ctx, self.paths, self.answers)
-        self.placements = Placements(self.ctx, self.sessions, self.paths, self.answers)
-        self._orphans: Expiring[list[bytes]] = Expiring(ORPHANS, ORPHANED_FOR)
-        self._take_settings()
-
-    def _take_settings(self) -> None:
-        settings = self.ctx.settings
-        self._lengths = self.ctx.directory.lengths
-        self._openings = Allowance(settings.answers_per_s, self.ctx.now)
-        self._gate = None if settings.retry is None else Gate(settings.retry.above_per_s, settings.most_pending)
+        """Start without sessions.
+
+        Args:
+            settings: the settings in force.
+            driver: decides about sessions.
+            endpoints: the endpoint list.
+            counters: the process's counters.
+            log: the process's log.
+            transport: sends datagrams.
+            unix_time: returns the Unix time in seconds.
+            now: the current time of a monotonic clock in seconds; `advance` sets it from then on.
+        """
+        directory = ConnectionIdDirectory(settings.ids, settings.unroutable_length)
+        self.context = Context(settings, directory, driver, endpoints, counters, log, transport, unix_time, now)
+        self.paths = PathTable(self.context)
+        self.responder = Responder(self.context)
+        self.sessions = SessionTable(self.context, self.paths, self.responder)
+        self.session_setup = SessionSetup(self.context, self.sessions, self.paths, self.responder)
+        self._early_zero_rtt: ExpiringMap[list[bytes]] = ExpiringMap(MAX_EARLY_ZERO_RTT_CIDS, EARLY_ZERO_RTT_SECONDS)
+        self._apply_settings()
+
+    def _apply_settings(self) -> None:
+        settings = self.context.settings
+        self._cid_lengths = self.context.directory.lengths_by_codepoint
+        self._initial_limiter = RateLimiter(settings.answers_per_s, self.context.now)
+        self._address_validation = (
+            None
+            if settings.retry is None
+            else AddressValidationPolicy(settings.retry.above_per_s, settings.most_pending)
+        )
 
     def configure(self, settings: QuicSettings) -> None:
-        """Other settings from now on. What stands goes on; ids that nothing reads any more are forgotten."""
-        ctx = self.ctx
-        ctx.directory = Directory(settings.ids, settings.unroutable_length, before=ctx.directory)
-        ctx.settings = settings
+        """Use other settings from now on. Sessions go on; connection IDs that are not readable now are forgotten."""
+        context = self.context
+        context.directory = ConnectionIdDirectory(
+            settings.ids, settings.unroutable_length, previous=context.directory
+        )
+        context.settings = settings
         self.paths.configure()
-        self.answers.configure()
+        self.responder.configure()
         self.sessions.configure()
-        self.sessions.unlearn()
-        self._take_settings()
+        self.sessions.forget_unreadable_cids()
+        self._apply_settings()
 
-    # ------------------------------------------------------------ from clients
+    # Datagrams from clients
 
-    def from_client(self, data: bytes, peer: Peer) -> None:
-        """A datagram of a client's. Raises `Malformed` where it is no QUIC."""
+    def handle_client_datagram(self, data: bytes, client_address: ClientAddress) -> None:
+        """Route a client's datagram.
+
+        Raises:
+            MalformedPacketError: the datagram is not valid QUIC.
+        """
         if len(data) < 2:
-            raise Malformed("too short")
+            raise MalformedPacketError("the datagram is too short")
         if data[0] & 0x80:
-            self._long(data, peer)
+            self._handle_long_header(data, client_address)
             return
         sessions = self.sessions
-        length = self._lengths[data[1] >> 5]
+        length = self._cid_lengths[data[1] >> 5]
         dcid = data[1 : 1 + length]
-        session = sessions.routes.get(dcid)
+        session = sessions.by_server_cid.get(dcid)
         if session is not None:
-            sessions.forward(session, data, peer, dcid)
-        elif peer in sessions.by_address:
-            sessions.forward(sessions.by_address[peer], data, peer)
+            sessions.forward_to_server(session, data, client_address, dcid)
+        elif client_address in sessions.by_address:
+            sessions.forward_to_server(sessions.by_address[client_address], data, client_address)
         elif 0 < length <= len(data) - 1:
-            self._routed(data, peer, dcid)
+            self._route_by_server_id(data, client_address, dcid)
         else:
-            # Not even a reset: without the whole id no token can be made that the client knows.
-            self.ctx.counters.add("quic unroutable")
-
-    def _long(self, data: bytes, peer: Peer) -> None:
-        ctx, sessions = self.ctx, self.sessions
-        seen = parse_invariants(data)
-        dcid = seen.dcid
-        if seen.version not in VERSIONS:
-            self.answers.negotiate(data, peer, seen)
-        elif (session := sessions.chosen.get(dcid, ctx.now)) is not None:
-            placing = session.placing
-            packets = long_packets(data)
-            if peer != (placing.peer if placing is not None else session.path and session.path.peer):
-                # A client has one address until its handshake is over (RFC 9000, 9). Guards against copies from
-                # elsewhere that would open paths to the runner.
-                ctx.counters.add("quic from elsewhere")
-            elif any(p.type is QuicPacketType.INITIAL for p in packets) and len(data) < FIRST_DATAGRAM:
-                ctx.counters.add("quic short initials")  # RFC 9000, 14.1
-            elif placing is None:
-                sessions.forward(session, data, peer)
+            # No stateless reset either: its token derives from the whole connection ID, which is not known.
+            self.context.counters.add("quic unroutable")
+
+    def _handle_long_header(self, data: bytes, client_address: ClientAddress) -> None:
+        context, sessions = self.context, self.sessions
+        header = parse_invariants(data)
+        dcid = header.dcid
+        if header.version not in SUPPORTED_VERSIONS:
+            self.responder.send_version_negotiation(data, client_address, header)
+        elif (session := sessions.by_client_cid.get(dcid, context.now)) is not None:
+            setup = session.setup
+            packets = parse_long_header_packets(data)
+            if client_address != (
+                setup.client_address if setup is not None else session.path and session.path.client_address
+            ):
+                # A client keeps its address until the handshake is confirmed (RFC 9000, 9). Copies of its packets
+                # that are sent from other addresses must not open paths to the server.
+                context.counters.add("quic from elsewhere")
+            elif any(p.type is QuicPacketType.INITIAL for p in packets) and len(data) < MIN_INITIAL_DATAGRAM_BYTES:
+                context.counters.add("quic short initials")  # RFC 9000, 14.1
+            elif setup is None:
+                sessions.forward_to_server(session, data, client_address)
             else:
-                self.placements.take(session, placing, data, packets)
-        elif sessions.chosen.has(dcid, ctx.now):
-            ctx.counters.add("quic answered before")  # another answer would be a second
-        elif (session := sessions.routes.get(dcid)) is not None:
-            sessions.forward(session, data, peer, dcid)
+                self.session_setup.add_client_datagram(session, setup, data, packets)
+        elif sessions.by_client_cid.has(dcid, context.now):
+            context.counters.add("quic answered before")  # the client gets one final response only
+        elif (session := sessions.by_server_cid.get(dcid)) is not None:
+            sessions.forward_to_server(session, data, client_address, dcid)
         else:
-            self._unknown_long(data, peer, dcid)
-        self.placements.settle()
-
-    def _unknown_long(self, data: bytes, peer: Peer, dcid: bytes) -> None:
-        """A long header with an id that nothing is remembered of."""
-        packets = long_packets(data)
-        kind = packets[0].type if packets else None
-        if kind is QuicPacketType.INITIAL:
-            self._initial(data, peer, packets)
-        elif kind is QuicPacketType.RETRY:
-            raise Malformed("a Retry from a client")
-        elif kind is QuicPacketType.ZERO_RTT and not self.ctx.directory.routable(dcid):
-            # It has overtaken its Initial, or that was lost (RFC 9000, 5.2.2).
-            held = self._orphans.get(dcid, self.ctx.now) or []
-            if len(held) < ORPHANS_OF_ID:
-                self._orphans.put(dcid, [*held, data], self.ctx.now)
-        elif peer in self.sessions.by_address:
-            self.sessions.forward(self.sessions.by_address[peer], data, peer)
+            self._handle_unknown_long_header(data, client_address, dcid)
+        self.session_setup.carry_out_actions()
+
+    def _handle_unknown_long_header(self, data: bytes, client_address: ClientAddress, dcid: bytes) -> None:
+        """Handle a long-header packet whose connection ID is not in memory."""
+        packets = parse_long_header_packets(data)
+        packet_type = packets[0].type if packets else None
+        if packet_type is QuicPacketType.INITIAL:
+            self._handle_initial(data, client_address, packets)
+        elif packet_type is QuicPacketType.RETRY:
+            raise MalformedPacketError("the client sent a Retry packet")
+        elif packet_type is QuicPacketType.ZERO_RTT and not self.context.directory.is_routable(dcid):
+            # The 0-RTT packet has overtaken its Initial, or that was lost (RFC 9000, 5.2.2).
+            early = self._early_zero_rtt.get(dcid, self.context.now) or []
+            if len(early) < MAX_EARLY_ZERO_RTT_DATAGRAMS:
+                self._early_zero_rtt.put(dcid, [*early, data], self.context.now)
+        elif client_address in self.sessions.by_address:
+            self.sessions.forward_to_server(self.sessions.by_address[client_address], data, client_address)
         else:
-            self._routed(data, peer, dcid)
+            self._route_by_server_id(data, client_address, dcid)
+
+    def _handle_initial(self, data: bytes, client_address: ClientAddress, packets: list[Packet]) -> None:
+        """Handle an Initial whose connection ID is not in memory.
 
-    def _initial(self, data: bytes, peer: Peer, packets: list[Packet]) -> None:
-        """An Initial to an id that nothing is remembered of: a client opens a connection, or one that another
-        balancer has placed goes on here.
+        Either a client starts a connection, or one that another balancer has established continues here.
         """
-        ctx, packet = self.ctx, packets[0]
-        if len(data) < FIRST_DATAGRAM:
-            ctx.counters.add("quic short initials")
+        context, packet = self.context, packets[0]
+        if len(data) < MIN_INITIAL_DATAGRAM_BYTES:
+            context.counters.add("quic short initials")
             return
-        proven, original = False, packet.dcid
-        if packet.token and ctx.settings.retry is not None:
-            verdict, proof = ctx.settings.retry.tokens.check(packet.token, peer[0], peer[1], packet.dcid, ctx.unix())
-            ctx.counters.add(f"quic tokens {verdict.value}")
-            if verdict is Verdict.VALID and proof is not None:
-                proven, original = True, proof.original
-            elif verdict is not Verdict.NONE:
-                self.sessions.chosen.put(packet.dcid, None, ctx.now)
-                self.answers.invalid_token(packet, peer)
+        validated, original_dcid = False, packet.dcid
+        if packet.token and context.settings.retry is not None:
+            verdict, contents = context.settings.retry.tokens.check(
+                packet.token, client_address[0], client_address[1], packet.dcid, context.unix_time()
+            )
+            context.counters.add(f"quic tokens {verdict.value}")
+            if verdict is TokenVerdict.VALID and contents is not None:
+                validated, original_dcid = True, contents.original_dcid
+            elif verdict is not TokenVerdict.ABSENT:
+                self.sessions.by_client_cid.put(packet.dcid, None, context.now)
+                self.responder.send_invalid_token(packet, client_address)
                 return
-        runner = (
-            ctx.directory.routable(packet.dcid) and ctx.directory.read(packet.dcid, ctx.unix()).kind is Kind.RUNNER
+        names_server = (
+            context.directory.is_routable(packet.dcid)
+            and context.directory.look_up(packet.dcid, context.unix_time()).kind is ConnectionIdKind.SERVER
         )
         if (
-            not proven
-            and not runner
-            and len(packet.dcid) >= LEAST_CHOSEN
-            and self._gate is not None
-            and self._gate.unproven(ctx.now, self.placements.pending)
+            not validated
+            and not names_server
+            and len(packet.dcid) >= MIN_CLIENT_CHOSEN_DCID_BYTES
+            and self._address_validation is not None
+            and self._address_validation.requires_validation(context.now, self.session_setup.pending_count)
         ):
-            self.answers.retry(packet, peer)
+            self.responder.send_retry(packet, client_address)
             return
-        if not self._openings.take(ctx.now):
-            # Opening one costs some hashing. Not sent on by its id either: that would be a new session which
-            # the module has not placed.
-            ctx.counters.add("quic initials held back")
+        if not self._initial_limiter.try_acquire(context.now):
+            # Decrypting an Initial costs some hashing. It is not routed by its connection ID either: that would be a
+            # new session that the balancer has not placed.
+            context.counters.add("quic initials held back")
             return
         flight = Flight(packet.dcid)
-        opened = flight.first(packet) if len(packet.dcid) >= LEAST_CHOSEN else None
-        if opened is None and peer in self.sessions.by_address:
-            self.sessions.forward(self.sessions.by_address[peer], data, peer)
-        elif opened is None:
-            self._routed(data, peer, packet.dcid)
-        elif packet.token and runner and not proven:
-            # A runner's Retry that another balancer has passed on: its token is worth nothing elsewhere.
-            self._routed(data, peer, packet.dcid)
+        first_frames = flight.read_first_initial(packet) if len(packet.dcid) >= MIN_CLIENT_CHOSEN_DCID_BYTES else None
+        if first_frames is None and client_address in self.sessions.by_address:
+            self.sessions.forward_to_server(self.sessions.by_address[client_address], data, client_address)
+        elif first_frames is None:
+            self._route_by_server_id(data, client_address, packet.dcid)
+        elif packet.token and names_server and not validated:
+            # Another balancer has forwarded a server's Retry, whose token no other server accepts.
+            self._route_by_server_id(data, client_address, packet.dcid)
         else:
-            session = self.placements.begin(data, peer, packets, flight, opened, original, proven)
-            for early in self._orphans.pop(packet.dcid) or () if session is not None else ():
-                if session is not None and session.placing is not None:
-                    self.placements.take(session, session.placing, early, long_packets(early))
-
-    def _routed(self, data: bytes, peer: Peer, dcid: bytes) -> None:
-        """A datagram to an id of no known session: it goes to the runner that the id names."""
-        ctx, sessions = self.ctx, self.sessions
-        reading = ctx.directory.read(dcid, ctx.unix())
-        if reading.kind is not Kind.RUNNER:
-            ctx.counters.add("quic unroutable")
-            ctx.counters.add(f"quic ids {reading.kind.value}")
-            if reading.kind in (Kind.DEPARTED, Kind.RETIRED):
-                self.answers.reset(dcid, len(data), peer)
+            session = self.session_setup.start(
+                data, client_address, packets, flight, first_frames, original_dcid, validated
+            )
+            for early in self._early_zero_rtt.pop(packet.dcid) or () if session is not None else ():
+                if session is not None and session.setup is not None:
+                    self.session_setup.add_client_datagram(
+                        session, session.setup, early, parse_long_header_packets(early)
+                    )
+
+    def _route_by_server_id(self, data: bytes, client_address: ClientAddress, dcid: bytes) -> None:
+        """Route a datagram that belongs to no known session to the server that its connection ID names."""
+        context, sessions = self.context, self.sessions
+        info = context.directory.look_up(dcid, context.unix_time())
+        if info.kind is not ConnectionIdKind.SERVER:
+            context.counters.add("quic unroutable")
+            context.counters.add(f"quic ids {info.kind.value}")
+            if info.kind in (ConnectionIdKind.REMOVED_SERVER, ConnectionIdKind.RETIRED_CONFIG):
+                self.responder.send_stateless_reset(dcid, len(data), client_address)
             return
-        server = ctx.fleet.find(reading.uid)
-        if server is None or sessions.moved.get(dcid, ctx.now):
-            self.answers.reset(dcid, len(data), peer)  # lost or moved: the client may come again at once
+        server = context.endpoints.find(info.uid)
+        if server is None or sessions.reset_cids.get(dcid, context.now):
+            # The server is gone or the session was reset; with another reset, the client can reconnect at once.
+            self.responder.send_stateless_reset(dcid, len(data), client_address)
             return
-        path = self.paths.of(peer, server)
+        path = self.paths.find_path(client_address, server)
         session = path.session if path is not None else None
-        if session is None or session.placing is not None:  # another connection of the same client's
-            session = sessions.adopt(peer, server)
+        if session is None or session.setup is not None:  # a session in setup is another connection of the client
+            session = sessions.adopt(client_address, server)
         if session is not None:
-            sessions.learn(session, dcid)
-            sessions.forward(session, data, peer, dcid)
+            sessions.add_cid(session, dcid)
+            sessions.forward_to_server(session, data, client_address, dcid)
 
-    # ------------------------------------------------------------ from runners
+    # Datagrams from servers
 
-    def from_runner(self, data: bytes, slot: int, runner: Runner) -> None:
-        """A datagram that came on a socket from an address of a runner's."""
-        path = self.paths.at(slot, runner)
+    def handle_server_datagram(self, data: bytes, slot: int, server_address: ServerAddress) -> None:
+        """Route a datagram that arrived on a slot's socket from a server."""
+        path = self.paths.find_path_by_slot(slot, server_address)
         if path is None:
-            self.ctx.counters.add("quic late returns")  # of an attempt or a session that has ended
+            self.context.counters.add("quic late returns")  # the attempt or session has ended
             return
         session = path.session
-        if session.placing is None:
-            self.sessions.replied(session, path, data)
+        if session.setup is None:
+            self.sessions.forward_to_client(session, path, data)
         else:
-            self.placements.reply(session, session.placing, path, data)
-            self.placements.settle()
+            self.session_setup.handle_server_reply(session, session.setup, path, data)
+            self.session_setup.carry_out_actions()
 
-    def unreachable(self, slot: int, runner: Runner) -> None:
-        """No process listens at an address to which something was sent from this socket."""
-        path = self.paths.at(slot, runner)
+    def handle_unreachable_server(self, slot: int, server_address: ServerAddress) -> None:
+        """Handle an ICMP error for a datagram from a slot's socket: no process listens at the server address."""
+        path = self.paths.find_path_by_slot(slot, server_address)
         if path is not None:
-            self.placements.unreachable(path)
-            self.placements.settle()
+            self.session_setup.handle_unreachable_server(path)
+            self.session_setup.carry_out_actions()
 
-    # ------------------------------------------------------------ time, and what the module decides by itself
+    # Time
 
-    def step(self, now: float) -> None:
-        """Time goes on: carry out what the module has decided meanwhile and what is due."""
-        self.ctx.now = now
-        self.placements.settle()
-        self.placements.run_timers()
+    def advance(self, now: float) -> None:
+        """Set the time, in seconds; carry out what the driver has decided meanwhile, and run due timers."""
+        self.context.now = now
+        self.session_setup.carry_out_actions()
+        self.session_setup.run_timers()
 
     def sweep(self) -> None:
+        """End sessions, of a part of all, that are idle or whose server is lost."""
         self.sessions.sweep()
-        self.placements.settle()
+        self.session_setup.carry_out_actions()
 
     def next_timer(self) -> float | None:
-        return self.placements.next_timer()
+        """Return when `advance` is to be called next, in seconds; None if there is no timer."""
+        return self.session_setup.next_timer()
