--- a/aspensaddle/__main__.py
+++ b/aspensaddle/__main__.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 
 if __name__ == "__main__":
-    # A SIGHUP before its receiver is in place must wait instead of ending the process. Blocked before the imports,
-    # which take most of the start, and one of which (trio) runs ldconfig with all signals blocked.
+    # Until the signal receiver is installed, a SIGHUP must stay pending: unblocked, it would end the process. It is
+    # blocked before the imports because they take most of the startup time, and because importing trio runs ldconfig
+    # with all signals blocked.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
 
 import trio
@@ -31,7 +32,7 @@
 STORE_FILE_VARIABLE = "ASPENSADDLE_STORE"
 
 EXIT_CONFIG_ERROR = 2
-# Few reference cycles arise, and frequent collections only cost CPU.
+# The program creates few reference cycles, so frequent collections would only cost CPU time.
 GC_THRESHOLDS = (50_000, 20, 50)
 
 
--- a/aspensaddle/core/settings_parser.py
+++ b/aspensaddle/core/settings_parser.py
@@ -21,12 +21,12 @@
     Message,
     array,
     as_object,
+    choice,
     flag,
     integer,
     number,
     obj,
     raw,
-    word,
 )
 
 IDEMPOTENCY_BY_WORD = {
@@ -123,8 +123,8 @@
         latency_objective=objective,
         deadline=number(lane, "deadline"),
         priority_weight=number(lane, "worth", 1.0),
-        idempotency=word(lane, "repeat", IDEMPOTENCY_BY_WORD, Idempotency.IDEMPOTENT),
-        deduplication_scope=word(lane, "group", SCOPE_BY_WORD, DeduplicationScope.ALL),
+        idempotency=choice(lane, "repeat", IDEMPOTENCY_BY_WORD, Idempotency.IDEMPOTENT),
+        deduplication_scope=choice(lane, "group", SCOPE_BY_WORD, DeduplicationScope.ALL),
         deduplication_window=number(lane, "window", 5.0),
         message_latency_objective=message_objective,
     )
--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -19,7 +19,8 @@
 MIN_SOCKETS = 64
 SEED_BITS = 53
 CONFIG_VARIABLE = "LB_CONFIG"
-OVERRIDABLE_FIELDS = ("name", "listen", "discovery")  # each by the variable LB_ and its name in capitals
+# An environment variable overrides each of these fields: LB_ followed by the field's name in capitals.
+OVERRIDABLE_FIELDS = ("name", "listen", "discovery")
 
 
 @dataclass(slots=True)
@@ -43,9 +44,9 @@
 
     Attributes:
         name: The balancer's name.
-        listen: Where clients connect.
+        listen: The address where clients connect.
         discovery: The discovery service; None if the known endpoint list is the only one.
-        seed: Seed of everything that is drawn.
+        seed: Seed of the random number generators.
         limits: What the platform allows the process.
         known: The endpoint list known at the start.
         settings: The settings of the core.
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True)
 class _NamedSettings:
-    """The settings, and the numbers or the order of the names in them."""
+    """The settings, with the request classes, tenants and zones that they name."""
 
     settings: Settings
     classes: dict[str, int]
@@ -80,7 +81,9 @@
     try:
         return _NamedSettings(
             parse_settings(message),
-            classes=_numbers_by_name([as_object(lane, "lanes") for lane in array(message, "lanes")]),
+            classes=_numbers_by_name(
+                [as_object(request_class, "lanes") for request_class in array(message, "lanes")]
+            ),
             tenants=_numbers_by_name([as_object(tenant, "tenants") for tenant in array(message, "tenants", [])]),
             zones=tuple(str(zone) for zone in array(message, "failure-domains", [])),
         )
@@ -99,7 +102,7 @@
         sockets=integer(message, "sockets", 1024),
     )
     if limits.sockets < MIN_SOCKETS:
-        raise DecodeError(f"sockets must be {MIN_SOCKETS} at least, not {limits.sockets}")
+        raise DecodeError(f"sockets must be at least {MIN_SOCKETS}, not {limits.sockets}")
     return limits
 
 
@@ -124,7 +127,7 @@
 
 
 def with_settings(config: Config, message: Message) -> Config:
-    """Return the configuration with other settings, given as the platform writes them.
+    """Return the configuration with its settings replaced by others, in the platform's format.
 
     Raises:
         DecodeError: If a setting is missing or wrong.
@@ -165,9 +168,9 @@
 class ConfigSource:
     """The file that `LB_CONFIG` names, and the variables that take precedence over it.
 
-    The platform's variables repeat the file as it is at the start, and a process can't be given others later.
-    A variable that equals the file at the first read therefore overrides nothing, so that a reload can change the
-    field; one that differs is an operator's override and takes precedence for good.
+    The platform sets the variables to the values that the file has at startup, and the environment of a running
+    process can't be changed. A variable that equals the file at the first read therefore overrides nothing, so that
+    a reload can change the field; one that differs is an operator's override and always takes precedence.
     """
 
     def __init__(self, environ: Mapping[str, str] = os.environ) -> None:
--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown after SIGTERM, in phases whose ends follow from the settings (`docs/shutdown.md`).
+"""Graceful shutdown after SIGTERM, in phases whose times are computed from the settings (`docs/shutdown.md`).
 
-Requests in flight are answered, connections are migrated, the accept queue is drained, then everything is closed.
-Work that is late in a phase is ended by a response; no connection ends without one.
+Requests in flight are completed, connections are migrated, the accept queue is drained, then everything is closed.
+A request that is not complete by the end of its phase gets a response; no connection is closed without one.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
 from aspensaddle.support.sockets import Listener
 
-# PROTOCOL, "Figures": the process is killed no sooner than the longest deadline, up to a limit, and a margin later.
+# PROTOCOL, "Figures": the process is not killed before the longest deadline, or this limit if the deadline is longer,
+# plus a margin.
 MAX_DEADLINE_SECONDS = 3.0
 KILL_MARGIN_SECONDS = 0.7
 NEW_CONNECTIONS_SECONDS = 0.4  # new connections keep arriving for this long after SIGTERM
 
-SLACK_SECONDS = 0.05  # after the last new connection, and before the kill for the process to exit
-LINGER_SECONDS = 0.25  # for clients to read their last answer
-MIGRATION_SPREAD_SECONDS = 0.6  # migrated clients reconnect at once: they are spread over this time
-STEP_SECONDS = 0.02  # between two looks at what is left to do
+SLACK_SECONDS = 0.05  # margin after the last new connection, and for the process to exit before it is killed
+LINGER_SECONDS = 0.25  # time for clients to read their last response
+MIGRATION_SPREAD_SECONDS = 0.6  # migrated clients reconnect at once, so their migration is spread over this time
+POLL_INTERVAL_SECONDS = 0.02  # between two checks of what is left to do
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,10 +32,10 @@
     """Times of the shutdown, in seconds after SIGTERM, from which on new requests are rejected.
 
     Attributes:
-        migration_start: From here on established connections are migrated.
-        answer_deadline: Every accepted request is answered and every established connection migrated.
-        drain_deadline: The accept queue is drained.
-        close_deadline: No client is waited for any more.
+        migration_start: When the migration of established connections begins.
+        answer_deadline: When every accepted request has a response and every established connection is migrated.
+        drain_deadline: When the accept queue is drained.
+        close_deadline: When the remaining connections are closed without waiting for their clients.
     """
 
     migration_start: float
@@ -48,7 +49,7 @@
 
         Args:
             settings: The settings in force, for their longest deadline.
-            event_loop_lag: Recent lag in seconds, which each step of the shutdown may find again.
+            event_loop_lag: Recent event-loop lag in seconds, by which each step of the shutdown may be delayed.
         """
         longest_deadline = max(request_class.deadline for request_class in settings.classes)
         kill_time = min(MAX_DEADLINE_SECONDS, longest_deadline) + KILL_MARGIN_SECONDS
@@ -60,7 +61,7 @@
 
 
 class GracefulShutdown:
-    """Runs the phases; it goes on as soon as nothing is left to do in one."""
+    """Runs the phases in order; each ends early if nothing is left to do in it."""
 
     def __init__(
         self, frontend: LineProtocolFrontend, listener: Listener, phases: ShutdownPhases, nursery: trio.Nursery
@@ -72,11 +73,11 @@
         self._start = 0.0
 
     async def run(self) -> None:
-        """Shut the front end down, beginning now."""
+        """Shut the front end down, with the phases counted from now."""
         self._start = trio.current_time()
         await self._reject_new_requests()
         await self._migrate_connections()
-        self._answer_the_rest()
+        self._finish_remaining_work()
         await self._drain_accept_queue()
         self._listener.close()
         await self._close_connections()
@@ -88,7 +89,7 @@
         await trio.sleep(min(at_most, max(0.0, self._time_left(phase_end))))
 
     async def _reject_new_requests(self) -> None:
-        """Reject new requests. Accepted ones go on; no attempt begins too late for its answer to come."""
+        """Reject new requests. Accepted ones continue; no attempt starts too late for its response."""
         self._frontend.accepting_requests = False
         self._frontend.driver.stop_attempts_after(self._time_left(self._phases.answer_deadline))
         await self._sleep_until(self._phases.migration_start)
@@ -96,41 +97,41 @@
     async def _migrate_connections(self) -> None:
         """Migrate established connections, spread evenly; those established from now on migrate at once."""
         self._frontend.migrating_all = True
-        begun = trio.current_time()
+        started_at = trio.current_time()
         time_left = self._time_left(self._phases.answer_deadline)
-        span = max(STEP_SECONDS, min(MIGRATION_SPREAD_SECONDS, time_left - 2 * STEP_SECONDS))
+        span = max(POLL_INTERVAL_SECONDS, min(MIGRATION_SPREAD_SECONDS, time_left - 2 * POLL_INTERVAL_SECONDS))
         connections = list(self._frontend.open_connections.values())
         migrated = 0
         while self._frontend.unfinished_connections and self._time_left(self._phases.answer_deadline) > 0:
-            progress = (trio.current_time() - begun) / span
+            progress = (trio.current_time() - started_at) / span
             due = min(len(connections), 1 + int(len(connections) * progress))
             for connection in connections[migrated:due]:
                 connection.migrate()
             migrated = due
-            await self._sleep_until(self._phases.answer_deadline, at_most=STEP_SECONDS)
+            await self._sleep_until(self._phases.answer_deadline, at_most=POLL_INTERVAL_SECONDS)
 
-    def _answer_the_rest(self) -> None:
-        """Migrate and answer at once whatever is left."""
+    def _finish_remaining_work(self) -> None:
+        """Migrate the remaining connections and send a response to the remaining requests, all at once."""
         for connection in list(self._frontend.open_connections.values()):
             connection.migrate()
         self._frontend.reject_pending_requests()
         self._frontend.slots.evict_all_waiting()
 
     async def _drain_accept_queue(self) -> None:
-        """Accept what the kernel has queued, so that it is answered like all others."""
+        """Accept the connections that the kernel has queued, so that they get a response like all others."""
         while True:
             before = self._frontend.counters["connections"]
             has_room = self._frontend.accept(self._listener, self._nursery)
             is_empty = has_room and self._frontend.counters["connections"] == before
             if is_empty or self._time_left(self._phases.drain_deadline) <= 0:
                 return
-            await trio.sleep(0 if has_room else STEP_SECONDS)
+            await trio.sleep(0 if has_room else POLL_INTERVAL_SECONDS)
 
     async def _close_connections(self) -> None:
         """Let clients read their response, then abort lingering closes and wait for their tasks to end."""
         slots = self._frontend.slots
         while slots.open and self._time_left(self._phases.close_deadline) > 0:
-            await self._sleep_until(self._phases.close_deadline, at_most=STEP_SECONDS)
+            await self._sleep_until(self._phases.close_deadline, at_most=POLL_INTERVAL_SECONDS)
         slots.abort_all_lingering()
         while slots.count(ConnectionStage.LINGERING):
             await trio.sleep(0)
@@ -139,5 +140,8 @@
 async def shut_down(
     frontend: LineProtocolFrontend, listener: Listener, phases: ShutdownPhases, nursery: trio.Nursery
 ) -> None:
-    """Shut the front end down, beginning now. Connections that are still accepted are served in `nursery`."""
+    """Shut the front end down, with the phases counted from now.
+
+    Connections that are accepted meanwhile are served in `nursery`.
+    """
     await GracefulShutdown(frontend, listener, phases, nursery).run()
--- a/aspensaddle/daemon/process.py
+++ b/aspensaddle/daemon/process.py
@@ -1,4 +1,4 @@
-"""Runs one process to its end: the daemon and, where an operator's file turns it on, a replica of the store."""
+"""Runs one process until it shuts down: the daemon and, if an operator's file enables it, a replica of the store."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     log: Log,
     quic_file: Path | None = None,
 ) -> None:
-    """Run one process to its end, with the replicated store if it has settings.
+    """Run one process until it shuts down, with a replica of the store if that has settings.
 
     Raises:
         OSError: If a socket can't be bound.
--- a/aspensaddle/daemon/reload.py
+++ b/aspensaddle/daemon/reload.py
@@ -1,7 +1,7 @@
 """Reload of the configuration at SIGHUP, while the program runs.
 
 The configuration and the operator's files are read and validated completely before any of them is applied; if one is
-invalid, nothing changes. What a running process can't change keeps its old value and is named in the log.
+invalid, nothing changes. Fields that a running process can't change keep their old values and are named in the log.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-# Fields that the process and the requests in flight refer to.
+# Only a restart can change these fields, since the process and the requests in flight refer to them.
 FIXED_FIELDS = ("name", "listen", "seed", "zones")
 FIXED_SETTINGS = ("zone", "zone_count", "machine_types", "balancer_index", "polls_discovery", "pass_through")
 CHANGEABLE_FIELDS = ("discovery", "limits", "known", "settings")
 
 # Applies a validated operator's file and returns the names of the fields that need a restart.
 ApplyFile = Callable[[], list[str]]
-# Reads an operator's file for the configuration that will be in force. Changes nothing; raises `ConfigError`.
+# Validates an operator's file against the new configuration without applying it; raises `ConfigError` if invalid.
 PrepareFile = Callable[[Config], ApplyFile]
 
 
@@ -45,9 +45,9 @@
         """Create a reloader.
 
         Args:
-            source: Where configurations are read.
+            source: The source that configurations are read from.
             config: The configuration in force.
-            apply: Puts a configuration into force in the parts that use it.
+            apply: Applies a configuration to the parts of the process that use it.
             counters: Counters of the process.
             log: Log of the process.
             with_stored_settings: Replaces the settings by those in the store; None without a store.
@@ -62,7 +62,7 @@
         self._operator_files = operator_files
 
     def reload(self) -> None:
-        """Read everything anew and apply it, or log why it is rejected."""
+        """Read the configuration and the operator's files again and apply them, or log why they are rejected."""
         self._counters.add("reloads_requested")
         try:
             config, needs_restart = self._keep_fixed_fields(self._read())
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one process together and runs them until it is told to stop."""
+"""Wires the parts of one process together and runs them until a signal stops it."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     from aspensaddle.store.replica import Replica
 
 SIGNALS = signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP
-QUIC_OWN_SOCKETS = 2  # that the QUIC front end holds beside those to servers
+QUIC_OWN_SOCKETS = 2  # sockets that the QUIC front end holds in addition to those to servers
 
 
 class Daemon:
     """One balancer process. It provides the driver with its services (`ProcessServices`).
 
-    Heavy libraries are imported only where an operator's file turns their part on.
+    Large libraries are imported only if an operator's file enables the part that needs them.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
     async def run(self) -> None:
         """Run until SIGTERM or SIGINT, and shut down."""
         with trio.open_signal_receiver(*SIGNALS) as signals:
-            # Unblock SIGHUP before serving: one that was sent during the start is delivered now.
+            # Unblock SIGHUP before serving: one that was sent during startup is delivered now.
             signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
             listener = Listener(self._config.listen)
             if self._quic is not None:
@@ -143,7 +143,7 @@
     def _start_tasks(self, nursery: trio.Nursery, listener: Listener) -> None:
         self._driver.start(self._registry.apply(self._config.known))
         if isinstance(self._endpoint_source, EndpointWatcher):
-            # The driver asks for a stored source itself; the watcher starts now, after its own delay.
+            # The driver starts the watch of a stored source; an EndpointWatcher starts here, after its own delay.
             nursery.start_soon(self._supervisor.run_once, self._endpoint_source.start, self._report_failed_update)
         supervise = self._supervisor.supervise
         nursery.start_soon(supervise, self._run_timers)
@@ -162,7 +162,7 @@
         )
 
     async def _handle_signals(self, signals: AsyncIterator[int], listener: Listener) -> None:
-        """Handle each signal as it comes, also during the shutdown."""
+        """Handle each signal as it arrives, also during the shutdown."""
         assert self._nursery is not None
         async for number in signals:
             if number == signal.SIGUSR1:
@@ -196,7 +196,7 @@
         self._nursery.cancel_scope.cancel()
 
     def log_counters(self) -> None:
-        """Log all counters and what is known of each server."""
+        """Log all counters and a snapshot of each server."""
         servers = self._driver.server_snapshots()
         self._log.event(
             "counters_reported",
@@ -210,7 +210,7 @@
     # ------------------------------------------------------------ reload
 
     def _apply_config(self, config: Config) -> None:
-        """Put a configuration into force, part by part. Established connections are not touched."""
+        """Apply a configuration to each part of the process. Established connections are not affected."""
         old, self._config = self._config, config
         self._driver.configure(config.settings)
         if isinstance(self._endpoint_source, EndpointWatcher):
@@ -241,7 +241,7 @@
     # ------------------------------------------------------------ services for the driver
 
     def watch_endpoints(self) -> None:
-        """Start a watch of the endpoint list; an error of it counts as a failed call to discovery."""
+        """Start a watch of the endpoint list; an internal error in it counts as a failed discovery call."""
         if self._endpoint_source is not None:
             assert self._nursery is not None
             self._nursery.start_soon(
--- a/aspensaddle/daemon/store_integration.py
+++ b/aspensaddle/daemon/store_integration.py
@@ -1,6 +1,6 @@
-"""What the daemon reads from the replicated store: its endpoint list and its settings.
+"""Reads the endpoint list and the settings from the replicated store.
 
-Both are decoded into the same types as from the platform, so that the core never sees the store.
+Both are decoded into the same types as the platform's, so that the core does not depend on the store.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from aspensaddle.support.json_fields import DecodeError
 from aspensaddle.support.log import Log
 
-ENDPOINT_KEY_PREFIX = "runner/"  # and the uid; the value is an entry of an endpoint list
-SETTINGS_KEY = "config/settings"  # the settings, as in the configuration
-INITIAL_SYNC_SECONDS = 2.0  # how long a start waits for a peer that holds the settings
-POLL_SECONDS = 0.02
+ENDPOINT_KEY_PREFIX = "runner/"  # followed by the uid; the value is one entry of an endpoint list
+SETTINGS_KEY = "config/settings"  # the value is the settings, in the format of the configuration
+INITIAL_SYNC_SECONDS = 2.0  # longest wait at startup for a peer that holds the settings
+POLL_INTERVAL_SECONDS = 0.02
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
     """The endpoint list that the store's entries make up.
 
     Attributes:
-        update: The complete list of the valid entries.
+        update: A complete list of the valid entries.
         errors: What is wrong with each invalid entry, which is left out.
     """
 
@@ -59,15 +59,15 @@
 
 
 async def wait_for_stored_settings(replica: Replica, config: Config, log: Log) -> Config:
-    """Return the configuration with the stored settings, after a wait for a peer to tell them."""
+    """Wait for a peer to send the stored settings and return the configuration with them."""
     with trio.move_on_after(INITIAL_SYNC_SECONDS):
         while not replica.agreed and replica.state.get(SETTINGS_KEY) is None:
-            await trio.sleep(POLL_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
     return with_stored_settings(replica, config, log)
 
 
 def with_stored_settings(replica: Replica, config: Config, log: Log) -> Config:
-    """Return the configuration with the settings that the store holds now, if any are valid."""
+    """Return the configuration with the settings in the store, or unchanged if there are no valid ones."""
     if (value := replica.state.get(SETTINGS_KEY)) is None:
         return config
     try:
@@ -111,8 +111,7 @@
         """Pass the list to the driver.
 
         Returns:
-            False if the store has no endpoint: it is empty or not synchronized yet, and a list known from before is
-            better than none.
+            False if the store has no endpoint, since it is empty or not synchronized yet; the driver keeps its list.
         """
         stored = parse_stored_endpoints(self._replica.state.values(ENDPOINT_KEY_PREFIX))
         for error in stored.errors:
--- a/aspensaddle/daemon/supervisor.py
+++ b/aspensaddle/daemon/supervisor.py
@@ -21,7 +21,7 @@
         self._log = log
 
     async def supervise(self, task: Callable[..., Awaitable[None]], *args: object) -> None:
-        """Run a task again whenever it ends, after a delay if by an error."""
+        """Run a task, and restart it each time it ends; after an internal error, with a delay."""
         while True:
             try:
                 await task(*args)
--- a/aspensaddle/discovery/endpoint_registry.py
+++ b/aspensaddle/discovery/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the known servers: the number that the core knows each by, and its address."""
+"""Registry of the known servers: the number that identifies each in the core, and its address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class EndpointRegistry:
     """Maps each uid to a 32-bit server number and to an address.
 
-    A server's number is a hash of its uid, so that all balancers lay the same hash ring. If two uids have the same
+    A server's number is a hash of its uid, so that all balancers build the same hash ring. If two uids have the same
     hash, the one registered later gets the hash of its uid with a counter appended.
 
     Attributes:
@@ -57,7 +57,10 @@
             del self._numbers[uid]
 
     def apply(self, update: EndpointListUpdate) -> tuple[Endpoint, ...]:
-        """Apply an update and return its entries for the core. If a server is named twice, the last entry holds."""
+        """Apply an update and return its entries for the core.
+
+        If a server is listed twice, the last entry takes effect.
+        """
         endpoints = tuple(self._apply_record(record) for record in update.endpoints)
         if update.complete:
             self._forget_all_except({endpoint.server for endpoint in endpoints})
@@ -87,7 +90,7 @@
         return self.machine_types.index(name) if name in self.machine_types else -1
 
     def _zone_index(self, name: str) -> int:
-        # A zone that the settings do not name counts as remote: it gets an index of its own.
+        # A zone that is not in the settings counts as remote: it gets an index of its own, after theirs.
         if name in self.zones:
             return self.zones.index(name)
         return len(self.zones) + stable_hash(name, UNKNOWN_ZONE_BITS)
--- a/aspensaddle/discovery/endpoint_update.py
+++ b/aspensaddle/discovery/endpoint_update.py
@@ -9,7 +9,17 @@
 
 from aspensaddle.core.events import EndpointUpdateScope, ServerState
 from aspensaddle.support.address import Address, parse_address
-from aspensaddle.support.json_fields import DecodeError, Message, array, as_object, flag, integer, number, text, word
+from aspensaddle.support.json_fields import (
+    DecodeError,
+    Message,
+    array,
+    as_object,
+    choice,
+    flag,
+    integer,
+    number,
+    text,
+)
 
 WIRE_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 MAX_WEIGHT = 1e9  # exclusive
@@ -21,13 +31,13 @@
 
     Attributes:
         uid: The platform's name of the server.
-        address: Where it listens; None only for a server that is gone.
-        zone: The name of its zone, empty if not told.
+        address: The address where it listens; None only for a server that is gone.
+        zone: The name of its zone, empty if not given.
         cell: The number of its cell.
         state: Its state.
         weight: Its listed capacity.
         started_at: When it started, in seconds of Unix time; 0 if long ago.
-        machine_type: The name of its machine type, empty if not told.
+        machine_type: The name of its machine type, empty if not given.
     """
 
     uid: str
@@ -46,8 +56,8 @@
 
     Attributes:
         revision: The service's version of the list after this update.
-        complete: Whether servers that are not named are gone.
-        endpoints: The servers named, in the order of the list.
+        complete: Whether servers that are not listed are gone.
+        endpoints: The listed servers, in the order of the list.
     """
 
     revision: int = 0
@@ -56,7 +66,7 @@
 
     @property
     def scope(self) -> EndpointUpdateScope:
-        """What the update covers, as the core is told."""
+        """Whether the update is a complete list, in the core's terms."""
         return EndpointUpdateScope.COMPLETE if self.complete else EndpointUpdateScope.INCREMENTAL
 
 
@@ -66,7 +76,7 @@
     Raises:
         DecodeError: If a field is missing or wrong.
     """
-    state = word(message, "state", WIRE_STATES, ServerState.READY)
+    state = choice(message, "state", WIRE_STATES, ServerState.READY)
     uid = text(message, "uid")
     if not uid:
         raise DecodeError("uid must not be empty")
@@ -87,7 +97,7 @@
 
 
 def parse_endpoint_list(message: Message) -> EndpointListUpdate:
-    """Decode a list or a change.
+    """Decode an endpoint list or a change to one.
 
     Raises:
         DecodeError: If a field is missing or wrong; the text names the entry.
--- a/aspensaddle/discovery/errors.py
+++ b/aspensaddle/discovery/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a discovery call. Each names the part of the call that failed and carries what was seen."""
+"""Errors of a discovery call: one class for each kind of failure, with its details as attributes."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
     """Why a call failed, as the log and the counters name it."""
 
     UNREACHABLE = "unreachable"  # the connection was not established: the service is down or cut off
-    REJECTED = "rejected"  # the service answers and is down, or has more calls than it serves
+    REJECTED = "rejected"  # the service responds with an error status: it is down, or overloaded
     CONNECTION_LOST = "connection_lost"
     SILENT = "silent"
     INVALID_RESPONSE = "invalid_response"
-    INTERNAL_ERROR = "internal_error"  # a fault of this program
+    INTERNAL_ERROR = "internal_error"  # an exception that no code expected
 
 
 class DiscoveryError(Exception):
     """A discovery call failed or its watch broke.
 
     Attributes:
-        failure_reason: Why.
+        failure_reason: Why the call failed.
     """
 
     failure_reason = FailureReason.INVALID_RESPONSE
@@ -30,8 +30,8 @@
     """The connection to the discovery service failed.
 
     Attributes:
-        reason: What the system reported.
-        was_connected: Whether it had been established.
+        reason: The operating system's error message.
+        was_connected: Whether the connection had been established.
     """
 
     def __init__(self, reason: str, *, was_connected: bool) -> None:
@@ -45,7 +45,7 @@
     """The connection was not established in time.
 
     Attributes:
-        timeout_seconds: How long it was waited for.
+        timeout_seconds: How long the balancer waited.
     """
 
     failure_reason = FailureReason.UNREACHABLE
@@ -65,7 +65,7 @@
 
 
 class ResponseStatusError(DiscoveryError):
-    """The service answered with a status other than 200.
+    """The service responded with a status other than 200.
 
     Attributes:
         status: The HTTP status.
@@ -74,7 +74,7 @@
     failure_reason = FailureReason.REJECTED
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"the service responded with HTTP status {status}")
         self.status = status
 
 
--- a/aspensaddle/discovery/json_stream.py
+++ b/aspensaddle/discovery/json_stream.py
@@ -23,8 +23,8 @@
     """Splits a byte stream into JSON values, each on one line or, indented, on several.
 
     A value ends with the line that closes its last bracket. An empty line between two values is a heartbeat and is
-    returned as an empty value. An incomplete line, or the lines within a value, are no sign of life: a sender
-    that never completes a value counts as silent.
+    returned as an empty value. Incomplete lines and the lines within a value do not count as activity: a
+    sender that never completes a value counts as silent.
     """
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the values that are complete now; a heartbeat is an empty one.
+        """Yield the values that this data completes; a heartbeat is an empty value.
 
         Raises:
             ValueTooLongError: If a value exceeds `MAX_VALUE_BYTES`.
@@ -49,7 +49,7 @@
             raise ValueTooLongError(MAX_VALUE_BYTES)
 
     def finish(self) -> bytes | None:
-        """Return the last value, which needs no line end, or None.
+        """Return the last value, which may lack a line end, or None if there is none.
 
         Raises:
             IncompleteValueError: If the stream ended within a value.
@@ -81,7 +81,7 @@
     """One HTTP call for a stream of JSON values.
 
     Attributes:
-        complete: Whether the response ended as it announced.
+        complete: Whether the whole response was received.
     """
 
     def __init__(self, address: Address, target: str) -> None:
@@ -123,12 +123,12 @@
                 yield value
             self.complete = True
         elif not isinstance(event, h11.Response | h11.InformationalResponse):
-            raise InvalidResponseError("the connection ended")
+            raise InvalidResponseError("the connection ended within the response")
 
 
 def _nesting_change(line: bytes) -> int:
     """Return how many more brackets a line opens than it closes; those within strings do not count."""
-    bare = _JSON_STRING.sub(b"", line)
-    opened = bare.count(b"{") + bare.count(b"[")
-    closed = bare.count(b"}") + bare.count(b"]")
+    without_strings = _JSON_STRING.sub(b"", line)
+    opened = without_strings.count(b"{") + without_strings.count(b"[")
+    closed = without_strings.count(b"}") + without_strings.count(b"]")
     return opened - closed
--- a/aspensaddle/discovery/watch_call.py
+++ b/aspensaddle/discovery/watch_call.py
@@ -23,7 +23,7 @@
 
 
 class CallStage(Enum):
-    """How far a call has come."""
+    """Progress of a call."""
 
     CONNECTING = "connecting"
     WAITING = "waiting"  # connected, without a complete line yet
@@ -35,13 +35,14 @@
 
     Attributes:
         target: The path and query of the request.
-        updates_seen: How many updates the watcher had applied when the call began, or when it last gave one.
-        scope: Cancels the call.
+        updates_seen: How many updates the watcher had applied when the call began, or with the last one from this
+            call.
+        scope: Cancel scope of the call.
         started_at: Time at which the call began.
         connected: Whether its connection was established.
         answered: Set with the first complete line, or when the call ends without one.
         followed_since: Time of the first complete line; None before it.
-        failure: Why the call failed; None while it goes on, or if it ended otherwise.
+        failure: Why the call failed; None while it is in flight, or if it ended without a failure.
     """
 
     def __init__(self, target: str, updates_seen: int) -> None:
@@ -61,13 +62,13 @@
 
     @property
     def stage(self) -> CallStage:
-        """How far the call has come."""
+        """Progress of the call."""
         if self.followed_since is not None:
             return CallStage.FOLLOWED
         return CallStage.WAITING if self.connected else CallStage.CONNECTING
 
     def was_followed(self) -> bool:
-        """Whether the call lived beyond its first heartbeat, which a rejected or failed one does not."""
+        """Whether the call was followed for longer than a heartbeat interval, which a rejected one never is."""
         if self.followed_since is None:
             return False
         return trio.current_time() > self.followed_since + watch_policy.HEARTBEAT_SECONDS
@@ -106,7 +107,7 @@
 async def _receive(stream: trio.SocketStream, deadline: float) -> bytes:
     with trio.move_on_at(deadline):
         return bytes(await stream.receive_some(READ_BYTES))
-    try:  # data that arrived in time but that this process read late is no silence
+    try:  # data that arrived in time but that this process reads late must not count as a timeout
         return os.read(stream.socket.fileno(), READ_BYTES)
     except BlockingIOError:
         raise WatchTimeoutError from None
--- a/aspensaddle/discovery/watch_policy.py
+++ b/aspensaddle/discovery/watch_policy.py
@@ -8,28 +8,29 @@
 from random import Random
 
 HEARTBEAT_SECONDS = 2.0  # PROTOCOL: the service sends an empty line this often
-MAX_STALENESS_SECONDS = 6.0  # a change counts as known this long after a reachable service has it
+MAX_STALENESS_SECONDS = 6.0  # a change counts as known this long after a reachable service has received it
 
-SILENCE_TIMEOUT_SECONDS = HEARTBEAT_SECONDS + 0.5  # without a complete line
+SILENCE_TIMEOUT_SECONDS = HEARTBEAT_SECONDS + 0.5  # longest time without a complete line
 CONNECT_TIMEOUT_SECONDS = 0.5
-HEDGE_DELAY_SECONDS = 1.5  # a call without a complete line by then gets a second one beside it
-MAX_HEDGING_BALANCERS = 6  # a service that takes 0.25 s for a call serves so many within the hedge delay
+HEDGE_DELAY_SECONDS = 1.5  # a call without a complete line after this time is hedged: a second one is started
+MAX_HEDGING_BALANCERS = 6  # at 0.25 s for a call, a service serves 6 within the hedge delay
 RESPONSE_TIMEOUT_SECONDS = 3.5  # the service may queue a call
-QUEUED_RESPONSE_SECONDS = 1.0  # longest queueing of a call that neither hangs nor is behind too many others
-START_JITTER_SECONDS = 2.0  # spread of the first calls where all balancers ask one service
+QUEUED_RESPONSE_SECONDS = 1.0  # longest time in the service's queue, unless the call hangs or the queue is too long
+START_JITTER_SECONDS = 2.0  # spread of the first calls, since all balancers call one service
 INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 2.0
 MAX_FLEET_RETRIES_PER_SECOND = 40.0  # of all balancers together, while the service rejects calls
 
-# For this long after a change of the address backoff stays short; what a new address has counts as known after it.
+# Backoff stays short for this long after a change of the service's address. After this time, changes that the new
+# service holds count as known.
 RELOCATION_SECONDS = 4.0
 
-# Where lists are pushed, a local agent has them: it answers at once and what it has counts as known at once.
+# With pushed lists the service is a local agent: it responds at once, and what it holds counts as known at once.
 AGENT_RESPONSE_TIMEOUT_SECONDS = 0.5
 AGENT_MAX_BACKOFF_SECONDS = 0.25
 
-# Either a watch falls silent and the next call hangs, or a call is lost just as the service returns and the one
-# after its backoff hangs.
+# Either a watch falls silent and the next call hangs, or a call fails just before the service recovers and the call
+# after the backoff hangs.
 WORST_CASE_STALENESS_SECONDS = (
     max(SILENCE_TIMEOUT_SECONDS, CONNECT_TIMEOUT_SECONDS + MAX_BACKOFF_SECONDS, START_JITTER_SECONDS)
     + HEDGE_DELAY_SECONDS
@@ -37,7 +38,7 @@
     + QUEUED_RESPONSE_SECONDS
 )
 
-_MAX_BACKOFF_DOUBLINGS = 10  # keeps the power small; the maximum is reached earlier
+_MAX_BACKOFF_DOUBLINGS = 10  # keeps the power of two small; the maximum delay is reached earlier
 
 
 def start_delay(random: Random, *, is_local_agent: bool) -> float:
@@ -55,7 +56,7 @@
 
     Args:
         failures: Failed calls in a row, this one included.
-        random: Source of the jitter, which keeps balancers that failed together apart.
+        random: Source of the jitter, which keeps balancers whose calls failed together from retrying together.
         is_local_agent: Whether the service is an agent of this balancer alone.
         is_relocating: Whether the address is new and its service may still be starting.
     """
@@ -69,7 +70,7 @@
 
 
 def may_hedge(balancer_count: int, *, is_local_agent: bool) -> bool:
-    """Return whether a call without an answer must have been lost, since few other calls can be before it."""
+    """Return whether a call without a response can be taken for lost, since few others can be queued before it."""
     return not is_local_agent and balancer_count <= MAX_HEDGING_BALANCERS
 
 
@@ -79,7 +80,7 @@
     Args:
         failures: Failed calls in a row, this one included.
         random: Source of the jitter.
-        balancer_count: Balancers that share the service; its limit on retries is divided among them.
+        balancer_count: Balancers that share the service, and the limit on retries to it.
     """
     limit = max(MAX_BACKOFF_SECONDS, 2 * balancer_count / MAX_FLEET_RETRIES_PER_SECOND)
     doublings = min(max(0, failures - 1), _MAX_BACKOFF_DOUBLINGS)
@@ -89,6 +90,7 @@
 def reconnect_delay(random: Random, *, timed_out: bool) -> float:
     """Return the delay after a watch that was followed and ended.
 
-    Watches that were closed were closed together and need jitter; silence is noticed at many different times.
+    The watches of all balancers are closed together, so reconnecting needs jitter. Silence is detected at a different
+    time by each balancer, so it needs none.
     """
     return 0.0 if timed_out else random.uniform(0.0, INITIAL_BACKOFF_SECONDS)
--- a/aspensaddle/discovery/watcher.py
+++ b/aspensaddle/discovery/watcher.py
@@ -1,6 +1,6 @@
 """Keeps the endpoint list current by a watch on the discovery service.
 
-The watch is opened, followed while it lives and opened again when it ends:
+The watch is opened, followed until it ends, and opened again:
 
     CONNECTING --first complete line--> FOLLOWING --silent, broken or ended--> BACKING_OFF --delay--> CONNECTING
         |                                                                          ^
@@ -35,10 +35,10 @@
 
 
 class WatchState(Enum):
-    """Where the watcher is in the cycle of its watch."""
+    """Phase of the watch cycle."""
 
     STOPPED = auto()
-    CONNECTING = auto()  # a call, or two, without a complete line yet
+    CONNECTING = auto()  # one call, or two if hedged, without a complete line yet
     FOLLOWING = auto()
     BACKING_OFF = auto()
 
@@ -47,10 +47,10 @@
     """Watches the discovery service and passes each endpoint list update to the driver.
 
     Attributes:
-        state: Where the watcher is in the cycle of its watch.
+        state: Phase of the watch cycle.
         revision: The version of the list that was applied last, from which the next watch continues.
-        is_local_agent: Whether the service is an agent of this balancer alone, which answers at once and costs
-            nothing to ask.
+        is_local_agent: Whether the service is an agent of this balancer alone, which responds at once and is not
+            loaded by other balancers.
         balancer_count: Balancers that share the service, this one included.
     """
 
@@ -82,13 +82,13 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether a watch is kept."""
+        """Whether `watch` is running."""
         return self.state is not WatchState.STOPPED
 
     def change_address(self, address: Address) -> None:
-        """Watch at another address from now on.
+        """Watch the service at another address from now on.
 
-        Calls to the old address, which could hang or tell what is outdated, are cancelled, and so is a backoff that
+        Calls to the old address, which could hang or return outdated lists, are cancelled, and so is a backoff that
         its failures caused.
         """
         self._address = address
@@ -104,7 +104,7 @@
         await self.watch()
 
     async def watch(self) -> None:
-        """Keep a watch until cancelled. Returns at once if one is kept already."""
+        """Keep a watch open until cancelled. Returns at once if this is running already."""
         if self.is_running:
             return
         self.state = WatchState.CONNECTING
@@ -146,8 +146,8 @@
     async def _follow_one_watch(self, *, may_hedge: bool) -> WatchCall:
         """Open a watch, follow it to its end and return the call that was followed, or the last that failed.
 
-        A call that hangs gets a second one beside it, the first to answer is followed. One that may only wait for its
-        turn does not: a second call would be served in a turn of its own, and delay all others.
+        A call that hangs is hedged by a second one, and the first to respond is followed. A call that may only be
+        queued is not hedged: the service would serve the second call too, which delays those of all balancers.
         """
         calls = [self._new_call()]
         async with trio.open_nursery() as nursery:
@@ -185,7 +185,7 @@
     def _record_failure(self, call: WatchCall, error: Exception) -> None:
         call.failure = _failure_reason(error)
         if call.failure is FailureReason.UNREACHABLE:
-            self._confirm()  # nothing counts as told while the service cannot be reached
+            self._confirm()  # changes count as known only while the service is reachable
         self._counters.add("discovery_calls_failed")
         self._counters.add(f"discovery_calls_failed_{call.failure.value}")
         self._log.event(
@@ -200,7 +200,7 @@
             record_internal_error(error, self._counters, self._log)
 
     def _confirm(self) -> None:
-        """Tell the driver that the list is as current as it can be. What a local agent has counts as told anyway."""
+        """Report the list to the driver as current. A local agent's list counts as known without a confirmation."""
         if not self.is_local_agent:
             self._driver.endpoint_list_confirmed()
 
@@ -228,7 +228,7 @@
             self._log_update(update)
         self._counters.add("endpoint_updates_applied")
         self._driver.update_endpoints(update.scope, self._registry.apply(update))
-        # Only now: an update that an internal error lost must be asked for again.
+        # Set only after the update is applied: one that an internal error lost must be requested again.
         self.revision = update.revision
         self._updates_applied += 1
         call.updates_seen = self._updates_applied
@@ -236,8 +236,8 @@
     def _is_outdated(self, call: WatchCall, update: EndpointListUpdate) -> bool:
         """Whether an update is older than what is known.
 
-        A complete list with a lower revision, requested after everything known was applied, comes from a service
-        that restarted and counts anew; it is current.
+        A complete list with a lower revision that was requested after the last update was applied is current: it
+        comes from a service that restarted and counts revisions from the beginning.
         """
         restarted = update.complete and call.updates_seen == self._updates_applied
         return update.revision < self.revision and not restarted
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -82,7 +82,7 @@
         lag = self._frontend.event_loop_lag
         if lag.passes > loop_passes + MAX_LOOP_PASSES_SINCE_ACCEPT:
             # The line may have arrived after its connection: it counts from this pass of the event loop.
-            arrived_at = lag.since
+            arrived_at = lag.earliest_arrival
         return await self._requests.run(link, open_request, arrived_at)
 
     async def _read_open(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
--- a/aspensaddle/frontends/line_protocol/listener.py
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -53,7 +53,7 @@
                 break
             counters.add("connections")
             slots.starting += 1
-            nursery.start_soon(self._handle, stream, lag.since, lag.passes)
+            nursery.start_soon(self._handle, stream, lag.earliest_arrival, lag.passes)
         return True
 
     async def _handle(self, stream: trio.SocketStream, arrived_at: float, loop_passes: int) -> None:
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -15,7 +15,7 @@
 from aspensaddle.frontends.line_protocol.health_checker import HealthChecker
 from aspensaddle.frontends.line_protocol.link import MAX_LINE_BYTES, Link, first_word
 from aspensaddle.support.counters import Counters
-from aspensaddle.support.sockets import NO_DESCRIPTORS, connect
+from aspensaddle.support.sockets import DESCRIPTOR_SHORTAGE_ERRNOS, connect
 
 # Outcome of an attempt by the first word of the server's response.
 OUTCOMES = {
@@ -129,7 +129,7 @@
             with trio.move_on_at(deadline):
                 return Link(await connect(address))
         except OSError as error:
-            if error.errno in NO_DESCRIPTORS:
+            if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS:
                 self.counters.add("connects_failed_no_descriptors")
                 return Outcome.NOT_SENT  # not the server's failure
             return Outcome.UNREACHABLE
--- a/aspensaddle/simulator_adapter/wire.py
+++ b/aspensaddle/simulator_adapter/wire.py
@@ -43,12 +43,12 @@
     Message,
     array,
     as_object,
+    choice,
     flag,
     integer,
     number,
     obj,
     text,
-    word,
 )
 
 EndpointLists: TypeAlias = dict[int, tuple[Endpoint, ...]]
@@ -87,7 +87,7 @@
         server=integer(item, "server"),
         zone=integer(item, "region-part", 0),
         cell=integer(item, "pod", 0),
-        state=word(item, "phase", STATE_BY_WORD, ServerState.READY),
+        state=choice(item, "phase", STATE_BY_WORD, ServerState.READY),
         weight=number(item, "capacity-hint", 1.0),
         started_at=number(item, "started-at", 0.0),
         machine_type=integer(item, "generation-hw", -1),
@@ -132,7 +132,7 @@
         request_id=text(message, "ref"),
         attempt=integer(message, "n"),
         server=integer(message, "server"),
-        outcome=word(message, "state-code", OUTCOME_BY_WORD),
+        outcome=choice(message, "state-code", OUTCOME_BY_WORD),
         latency=number(message, "lag", 0.0),
         finished=flag(message, "finished"),
     )
@@ -160,7 +160,7 @@
 
 
 def _parse_backends_changed(message: Message, lists: EndpointLists) -> Event:
-    scope = word(message, "scope", SCOPE_BY_WORD)
+    scope = choice(message, "scope", SCOPE_BY_WORD)
     if scope is EndpointUpdateScope.FAILED:
         return EndpointsChanged(scope)
     list_number = integer(message, "set-id")
@@ -184,7 +184,7 @@
 def _parse_probe_done(message: Message, lists: EndpointLists) -> Event:
     return HealthCheckCompleted(
         server=integer(message, "server"),
-        outcome=word(message, "state-code", OUTCOME_BY_WORD),
+        outcome=choice(message, "state-code", OUTCOME_BY_WORD),
         latency=number(message, "lag", 0.0),
         report=_parse_load_report(message),
     )
--- a/aspensaddle/support/address.py
+++ b/aspensaddle/support/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as files write them."""
+"""Network addresses in the form HOST:PORT."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
     Args:
         value: The text.
-        name: The name of the field, for the error.
+        name: The name of the field, for the error message.
 
     Raises:
-        DecodeError: If the text is no address.
+        DecodeError: If the text is not an address.
     """
     host, colon, port = value.rpartition(":")
     is_number = port.isascii() and port.isdigit()
--- a/aspensaddle/support/config_errors.py
+++ b/aspensaddle/support/config_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration and of an operator's files. Each carries what could not be used."""
+"""Errors of the configuration and of an operator's files, with their details as attributes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """An environment variable that the program needs is not set.
 
     Attributes:
-        variable: Its name.
+        variable: The name of the variable.
     """
 
     def __init__(self, variable: str, purpose: str) -> None:
@@ -23,8 +23,8 @@
     """A file can't be read.
 
     Attributes:
-        path: The file, as the message names it.
-        reason: What the system reported.
+        path: The file, as named in the message.
+        reason: The operating system's error message.
     """
 
     def __init__(self, path: str, reason: str | None) -> None:
@@ -38,8 +38,8 @@
 
     Attributes:
         path: The file.
-        line: The line of the wrong field, from 1 on; 0 if it is not known.
-        reason: What is wrong; the text names the field.
+        line: The line of the invalid field, counted from 1; 0 if unknown.
+        reason: What is wrong, with the name of the field.
     """
 
     def __init__(self, path: str, reason: str, line: int = 0) -> None:
@@ -50,10 +50,10 @@
 
 
 class RestartRequiredError(ConfigError):
-    """A reload changes what only a restart can change.
+    """A reload would change a field that only a restart can change.
 
     Attributes:
-        field: The field.
+        field: The name of the field.
     """
 
     def __init__(self, field: str, reason: str) -> None:
--- a/aspensaddle/support/counters.py
+++ b/aspensaddle/support/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the program receives, sends and answers."""
+"""Counters of the program's events, such as requests received and responses sent."""
 
 from __future__ import annotations
 
--- a/aspensaddle/support/event_loop_lag.py
+++ b/aspensaddle/support/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""Measures how late this process comes to what has arrived, from the passes of its event loop."""
+"""Measures the event-loop lag: how long events wait until this process handles them."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 import trio
 
-SLEEP_THRESHOLD_SECONDS = 1e-3  # a shorter I/O wait found what was there already
-LAG_HALF_LIFE_SECONDS = 0.5  # the longest pass seen counts half as much after this time
+SLEEP_THRESHOLD_SECONDS = 1e-3  # a shorter I/O wait did not sleep, because events were pending already
+LAG_HALF_LIFE_SECONDS = 0.5  # the longest pass seen so far is halved after this time
 
 
 class EventLoopLagMonitor(trio.abc.Instrument):
-    """Times the passes of one event loop.
+    """Measures the duration of each pass of one event loop: the time between two I/O waits.
 
-    What an I/O wait returns arrived at its end if the wait slept; otherwise, at the earliest, after the wait before.
+    Events that an I/O wait returns arrived at its end if the wait slept; otherwise they may have arrived at any time
+    after the previous wait.
 
     Attributes:
-        since: The earliest time at which what the last I/O wait returned can have arrived.
-        passes: How many passes were seen.
+        earliest_arrival: The earliest time at which the events of the last I/O wait can have arrived.
+        passes: How many passes have begun.
     """
 
     def __init__(self) -> None:
-        self.since = 0.0
+        self.earliest_arrival = 0.0
         self.passes = 0
         self._wait_ended = 0.0
         self._wait_began = 0.0
@@ -29,17 +30,17 @@
         self._longest_pass_at = 0.0
 
     def begin(self) -> None:
-        """Watch the loop that calls this, from now on."""
+        """Start measuring the event loop that calls this."""
         now = trio.current_time()
-        self.since = self._wait_ended = self._wait_began = self._longest_pass_at = now
+        self.earliest_arrival = self._wait_ended = self._wait_began = self._longest_pass_at = now
         trio.lowlevel.add_instrument(self)
 
     def end(self) -> None:
-        """Watch the loop no more."""
+        """Stop measuring."""
         trio.lowlevel.remove_instrument(self)
 
     def before_io_wait(self, timeout: float) -> None:
-        """Note the end of a pass."""
+        """Record the end of a pass."""
         now = trio.current_time()
         self._wait_began = now
         if (duration := now - self._wait_ended) > self._decayed_longest_pass(now):
@@ -47,15 +48,15 @@
             self._longest_pass_at = now
 
     def after_io_wait(self, timeout: float) -> None:
-        """Note the beginning of a pass."""
+        """Record the beginning of a pass."""
         now = trio.current_time()
         self.passes += 1
         has_slept = now - self._wait_began > SLEEP_THRESHOLD_SECONDS
-        self.since = now if has_slept else self._wait_ended
+        self.earliest_arrival = now if has_slept else self._wait_ended
         self._wait_ended = now
 
     def recent(self, now: float) -> float:
-        """Return the longest recent pass in seconds, the current one included."""
+        """Return the longest recent pass in seconds, the current one included; earlier ones decay."""
         return max(now - self._wait_ended, self._decayed_longest_pass(now))
 
     def _decayed_longest_pass(self, now: float) -> float:
--- a/aspensaddle/support/files.py
+++ b/aspensaddle/support/files.py
@@ -1,4 +1,7 @@
-"""Reads JSON, and an operator's TOML within a size limit; errors of a TOML file name it, the line and the field."""
+"""Decodes JSON, and reads an operator's TOML files.
+
+TOML files have a size limit; errors in one name the file, the line and the field.
+"""
 
 from __future__ import annotations
 
@@ -58,5 +61,5 @@
     with path.open("rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
-        raise DecodeError(f"is over {MAX_FILE_BYTES} octets")
+        raise DecodeError(f"is larger than {MAX_FILE_BYTES} bytes")
     return data.decode()
--- a/aspensaddle/support/json_fields.py
+++ b/aspensaddle/support/json_fields.py
@@ -1,7 +1,7 @@
 """Validates the fields of decoded JSON or TOML, one by one, with errors that name the field.
 
-Each function returns the field of a message in the named type. A missing field and null count as the default; without
-a default they are an error. All raise `DecodeError` for a value of another type.
+Each function returns a field of a message, in the type that its name states. For a missing field or null it returns
+the default, or raises `DecodeError` if there is none. A value of another type raises `DecodeError`.
 """
 
 from __future__ import annotations
@@ -81,8 +81,8 @@
     raise DecodeError(f"{name} must be an object, not {value!r:.60}")
 
 
-def word(message: Message, name: str, table: dict[str, Any], default: Any = _MISSING) -> Any:
-    """Return the value that a table gives for one of its words."""
+def choice(message: Message, name: str, table: dict[str, Any], default: Any = _MISSING) -> Any:
+    """Return the value that a table has for the field's text, which must be one of its keys."""
     value = raw(message, name, default)
     if type(value) is str and value in table:
         return table[value]
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -16,8 +16,8 @@
 import orjson
 
 MAX_QUEUED_LINES = 2000
-FLUSH_TIMEOUT_SECONDS = 0.5  # at exit
-RATE_LIMIT_INTERVAL_SECONDS = 1.0  # between two events of a kind that others can cause at will
+FLUSH_TIMEOUT_SECONDS = 0.5  # longest wait for the queue at exit
+RATE_LIMIT_INTERVAL_SECONDS = 1.0  # between two events of one kind that peers can cause at any rate
 
 
 class Log:
@@ -38,9 +38,10 @@
         self._rate_limits: dict[str, _RateLimit] = {}
 
     def rate_limited_event(self, event: str, **fields: Any) -> None:
-        """Log an event that others can cause at will.
+        """Log an event that peers can cause at any rate.
 
-        At most one of a kind is written in `RATE_LIMIT_INTERVAL_SECONDS`, with the count of those suppressed before.
+        At most one event of each kind is written per `RATE_LIMIT_INTERVAL_SECONDS`, with the number suppressed before
+        it.
         """
         now = time.monotonic()
         limit = self._rate_limits.setdefault(event, _RateLimit())
@@ -52,7 +53,7 @@
         self.event(event, **fields, suppressed=suppressed)
 
     def event(self, event: str, **fields: Any) -> None:
-        """Log an event. Values that JSON does not know are written as text."""
+        """Log an event. Values of types that JSON lacks are written as text."""
         line = orjson.dumps(
             {"t": round(time.time(), 4), "name": self.name, "event": event, **fields},
             default=str,
@@ -64,7 +65,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what is queued, and wait for it at most twice `FLUSH_TIMEOUT_SECONDS`."""
+        """Write the queued lines, for at most twice `FLUSH_TIMEOUT_SECONDS`."""
         try:
             self._queue.put(None, timeout=FLUSH_TIMEOUT_SECONDS)
         except queue.Full:
@@ -76,14 +77,14 @@
             while line:
                 try:
                     line = line[os.write(self._fd, line) :]
-                except OSError:  # the reader is gone: the balancer goes on without a log
+                except OSError:  # the reader is gone: the balancer continues without a log
                     self.dropped += 1
                     break
 
 
 @dataclass(slots=True)
 class _RateLimit:
-    """When an event of a kind was last written, in seconds, and how many were suppressed since."""
+    """When an event of one kind was last written, in monotonic seconds, and how many were suppressed since then."""
 
     written_at: float = float("-inf")
     suppressed: int = 0
--- a/aspensaddle/support/sockets.py
+++ b/aspensaddle/support/sockets.py
@@ -10,10 +10,11 @@
 from aspensaddle.support.address import Address
 
 LISTEN_BACKLOG = 512
-NO_DESCRIPTORS = frozenset({errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM})
+# Errors of a system that is out of file descriptors or memory.
+DESCRIPTOR_SHORTAGE_ERRNOS = frozenset({errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
-def family(address: Address) -> socket.AddressFamily:
+def address_family(address: Address) -> socket.AddressFamily:
     """Return the address family of an address."""
     return socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
@@ -24,7 +25,7 @@
     Raises:
         OSError: If the connection fails.
     """
-    sock = trio.socket.socket(family(address))
+    sock = trio.socket.socket(address_family(address))
     try:
         await sock.connect(address)
         return trio.SocketStream(sock)
@@ -34,15 +35,15 @@
 
 
 class Listener:
-    """A listening socket whose accept queue is drained without a wait between two connections."""
+    """A listening socket. All queued connections can be accepted without waiting between them."""
 
     def __init__(self, address: Address) -> None:
-        self._socket = socket.create_server(address, family=family(address), backlog=LISTEN_BACKLOG)
+        self._socket = socket.create_server(address, family=address_family(address), backlog=LISTEN_BACKLOG)
         self._socket.setblocking(False)
 
     @property
     def address(self) -> Address:
-        """Where the socket listens."""
+        """The address on which the socket listens."""
         host, port, *_ = self._socket.getsockname()
         return host, port
 
@@ -60,7 +61,7 @@
         """Return the next queued connection, or None.
 
         Raises:
-            OSError: If the system can't accept it.
+            OSError: If the operating system fails to accept it.
         """
         try:
             accepted, _ = self._socket.accept()
@@ -69,7 +70,7 @@
         return trio.SocketStream(trio.socket.from_stdlib_socket(accepted))
 
     def close(self) -> None:
-        """Close the socket; connections that are queued are lost."""
+        """Close the socket. Connections in its accept queue are reset."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
--- a/aspensaddle/support/toml_lines.py
+++ b/aspensaddle/support/toml_lines.py
@@ -1,7 +1,7 @@
-"""Finds the line of a field in a TOML text, which the parser of the standard library does not tell.
+"""Finds the line of a field in a TOML text, which the standard library's parser does not report.
 
-Reads table headers and the left sides of fields, one a line. A field within a longer value is found at that
-value's line.
+It reads table headers and field names, one per line. A field within a value of several lines is found at the line
+where that value begins.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def line_of(source: str, field: str) -> int:
-    """Return the line of a field such as `ids[1].key`, from 1 on.
+    """Return the line of a field such as `ids[1].key`, counted from 1.
 
     For a missing field this is the line where its table begins; 0 if neither is found.
     """
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.lines: dict[str, int] = {}
-        self._array_lengths: dict[str, int] = {}  # of each array of tables
+        self._array_lengths: dict[str, int] = {}  # tables read so far in each array of tables, by its full name
         self._table = ""  # the table that the current line belongs to
 
     def add(self, number: int, line: str) -> None:
@@ -53,7 +53,7 @@
         self.lines.setdefault(self._table, number)
 
     def _resolve(self, name: str) -> str:
-        """Return the full name of a table; below an array of tables it belongs to the last of these."""
+        """Return the full name of a table. Below an array of tables it belongs to the last table of the array."""
         head, _, last = name.rpartition(".")
         while head and head not in self._array_lengths:
             head, _, middle = head.rpartition(".")
