--- a/tests/test_basics.py
+++ b/tests/test_basics.py
@@ -1,4 +1,4 @@
-"""The README's example, and what importing the library and the program does not load."""
+"""The example in the README runs, and the library and the program do not import optional dependencies."""
 
 import re
 import subprocess
@@ -13,7 +13,7 @@
     exec(compile(code, "README.md", "exec"), {})
 
 
-def test_library_needs_neither_adapter_nor_its_dependencies():
+def test_library_imports_neither_the_adapter_nor_its_dependencies():
     code = (
         "import sys; sys.modules['orjson'] = None; import aspensaddle, sys as s; "
         "assert not any(n.startswith('aspensaddle.simulator_adapter') for n in s.modules)"
@@ -21,8 +21,8 @@
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
 
 
-def test_what_is_off_is_not_imported():
-    """The platform starts the program with the operator's files off: it pays for no library of theirs."""
+def test_program_does_not_import_libraries_of_disabled_parts():
+    """The platform starts the program without the optional parts, so it must not load their libraries."""
     code = (
         "import aspensaddle.__main__, sys; "
         "assert not {'aioquic', 'cryptography', 'crossplane', 'aspensaddle.frontends.quic.engine'} & set(sys.modules)"
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service with more callers than it can serve at once, and what a balancer sends while it cannot ask."""
+"""An overloaded discovery service, and which servers get attempts while the endpoint list can't be confirmed."""
 
 import math
 import os
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 from helpers import SETTINGS, BalancerHarness, entry
-from test_discovery_freshness import HEAD, Told, chunk, listed
+from test_discovery_freshness import HEAD, RecordingDriver, endpoint_list, http_chunk
 
 from aspensaddle.core.actions import Reject, RejectReason, StartAttempt
 from aspensaddle.core.driver import Driver
@@ -19,13 +19,13 @@
 from aspensaddle.support.counters import Counters
 
 REJECTION = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-LONGEST_WAIT_SECONDS = 3.0  # in the service's queue
+MAX_QUEUEING_SECONDS = 3.0  # the service rejects a call that it would queue for longer
 ROUND_TRIP_SECONDS = 0.02
 CHANGE_AT_SECONDS = 1.67
 
 
 class CallStream:
-    """The client's end of a call, in memory."""
+    """The client's side of a discovery call, in memory."""
 
     def __init__(self, service):
         self.service = service
@@ -49,9 +49,11 @@
         return True
 
 
-class InTurnDiscovery:
-    """Serves one call after another; a call that would wait too long is rejected at once. A turn that was taken is
-    used up, also where the caller has gone meanwhile."""
+class QueueingDiscovery:
+    """Serves one call after another, and rejects a call at once that would be queued for too long.
+
+    A queued call takes its time even if the caller has gone meanwhile.
+    """
 
     def __init__(self, call_seconds):
         self.call_seconds, self.free_at, self.revision = call_seconds, 0.0, 1
@@ -62,20 +64,22 @@
     async def serve(self, stream):
         self.calls += 1
         now = trio.current_time()
-        turn = max(now, self.free_at)
-        if turn - now > LONGEST_WAIT_SECONDS:
+        served_at = max(now, self.free_at)
+        if served_at - now > MAX_QUEUEING_SECONDS:
             self.rejected += 1
             await trio.sleep(ROUND_TRIP_SECONDS)
             stream.reply(REJECTION)
             return
-        self.free_at = turn + self.call_seconds
+        self.free_at = served_at + self.call_seconds
         await trio.sleep_until(self.free_at + ROUND_TRIP_SECONDS)
-        alive = stream.reply(HEAD + chunk(listed(self.revision, "s-0")))
-        while alive:
+        is_connected = stream.reply(HEAD + http_chunk(endpoint_list(self.revision, "s-0")))
+        while is_connected:
             changed = self.changed
             with trio.move_on_after(watch_policy.HEARTBEAT_SECONDS) as heartbeat:
                 await changed.wait()
-            alive = stream.reply(chunk(b"\r\n" if heartbeat.cancelled_caught else listed(self.revision, "s-0")))
+            is_connected = stream.reply(
+                http_chunk(b"\r\n" if heartbeat.cancelled_caught else endpoint_list(self.revision, "s-0"))
+            )
 
     def change(self):
         self.revision += 1
@@ -87,8 +91,8 @@
         os.close(self._other_end)
 
 
-class Watch(Told):
-    """Notes when the change was learned, and each confirmation."""
+class ChangeRecorder(RecordingDriver):
+    """Records when the change was learned, and counts the confirmations."""
 
     def __init__(self):
         super().__init__()
@@ -102,15 +106,15 @@
         self.confirmations += 1
 
 
-def watch_together(count, call_seconds, seconds, monkeypatch):
-    """Start so many watchers together; what each saw, and the service."""
+def run_watchers_together(count, call_seconds, seconds, monkeypatch):
+    """Start `count` watchers together; return their recorders and the service."""
     monkeypatch.setattr(watch_call, "_connect", None)
-    watches = [Watch() for _ in range(count)]
+    recorders = [ChangeRecorder() for _ in range(count)]
     log = SimpleNamespace(event=lambda name, **fields: None)
 
     async def main():
         start = trio.current_time()
-        service = InTurnDiscovery(call_seconds)
+        service = QueueingDiscovery(call_seconds)
         service.free_at = start
 
         async def connect(address):
@@ -119,45 +123,49 @@
 
         monkeypatch.setattr(watch_call, "_connect", connect)
         async with trio.open_nursery() as service.nursery:
-            for seed, watch in enumerate(watches):
-                watcher = EndpointWatcher(("127.0.0.1", 9), watch, watch, Counters(), log, seed, balancer_count=count)
+            for seed, recorder in enumerate(recorders):
+                watcher = EndpointWatcher(
+                    ("127.0.0.1", 9), recorder, recorder, Counters(), log, seed, balancer_count=count
+                )
                 service.nursery.start_soon(watcher.start)
             await trio.sleep(CHANGE_AT_SECONDS)
             service.change()
             await trio.sleep(seconds)
             service.nursery.cancel_scope.cancel()
-        for watch in watches:
-            watch.learned_at -= start
+        for recorder in recorders:
+            recorder.learned_at -= start
         service.close()
         return service
 
-    return watches, trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+    return recorders, trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @pytest.mark.parametrize(("count", "call_seconds"), [(1, 0.15), (6, 0.25), (32, 0.15), (200, 0.025)])
-def test_all_balancers_that_start_together_learn_a_change_in_time(count, call_seconds, monkeypatch):
-    """Guards against second calls beside those that wait their turn: they kept the queue full for half a minute."""
-    watches, service = watch_together(count, call_seconds, 30.0, monkeypatch)
-    late = sorted(watch.learned_at for watch in watches)
-    assert late[-1] <= CHANGE_AT_SECONDS + watch_policy.MAX_STALENESS_SECONDS, late
-    assert service.calls - service.rejected <= count + 1  # no turn is wasted, and a watch that stands makes no calls
-
-
-def test_many_more_balancers_than_the_service_can_serve_in_time_are_served_in_the_end(monkeypatch):
-    """No turn stands empty, and their retries stay within the limit for the whole fleet."""
+def test_balancers_that_start_together_all_learn_a_change_in_time(count, call_seconds, monkeypatch):
+    """Guards against hedging calls that are only queued: the hedged calls kept the queue full for half a minute."""
+    recorders, service = run_watchers_together(count, call_seconds, 30.0, monkeypatch)
+    learned_times = sorted(recorder.learned_at for recorder in recorders)
+    assert learned_times[-1] <= CHANGE_AT_SECONDS + watch_policy.MAX_STALENESS_SECONDS, learned_times
+    assert (
+        service.calls - service.rejected <= count + 1
+    )  # one served call for each balancer: a followed watch makes no more
+
+
+def test_balancers_beyond_the_capacity_of_the_service_are_all_served_eventually(monkeypatch):
+    """The service is never idle meanwhile, and the retries stay within the limit for all balancers together."""
     count, call_seconds = 200, 0.2
-    watches, service = watch_together(count, call_seconds, 60.0, monkeypatch)
-    assert max(watch.learned_at for watch in watches) <= count * call_seconds + 10.0
+    recorders, service = run_watchers_together(count, call_seconds, 60.0, monkeypatch)
+    assert max(recorder.learned_at for recorder in recorders) <= count * call_seconds + 10.0
     assert service.rejected <= watch_policy.MAX_FLEET_RETRIES_PER_SECOND * count * call_seconds
 
 
 @pytest.mark.parametrize(
     ("refuses_connections", "confirmed"), [(True, True), (False, False)], ids=["unreachable", "rejects"]
 )
-def test_a_service_that_cannot_be_reached_confirms_the_list_and_one_that_rejects_does_not(
+def test_unreachable_service_confirms_the_list_and_a_rejecting_one_does_not(
     refuses_connections, confirmed, monkeypatch
 ):
-    watch = Watch()
+    recorder = ChangeRecorder()
     counters, events = Counters(), []
     log = SimpleNamespace(event=lambda name, **fields: events.append(fields))
 
@@ -173,7 +181,7 @@
     async def main():
         nonlocal nursery
         async with trio.open_nursery() as nursery:
-            watcher = EndpointWatcher(("127.0.0.1", 9), watch, watch, counters, log, balancer_count=32)
+            watcher = EndpointWatcher(("127.0.0.1", 9), recorder, recorder, counters, log, balancer_count=32)
             nursery.start_soon(watcher.start)
             await trio.sleep(20.0)
             nursery.cancel_scope.cancel()
@@ -182,37 +190,38 @@
     monkeypatch.setattr(watch_call, "_connect", connect)
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     reason = "unreachable" if refuses_connections else "rejected"
-    assert (watch.confirmations > 5) == confirmed and (watch.confirmations == 1) == (not confirmed)
+    assert (recorder.confirmations > 5) == confirmed and (recorder.confirmations == 1) == (not confirmed)
     assert {fields["reason"] for fields in events} == {reason}
     assert counters[f"discovery_calls_failed_{reason}"] == counters["discovery_calls_failed"] > 5
 
 
-# ------------------------------------------------------------ what is sent meanwhile
+# ------------------------------------------------------------ attempts without a confirmed list
 
-GRACE = replace(SETTINGS, rules=replace(SETTINGS.rules, drain_grace=2.0))
-CERTAIN_SECONDS = 7.5  # 6 s until a change counts as told, and its grace less the margin
+SETTINGS_WITH_DRAIN_GRACE = replace(SETTINGS, rules=replace(SETTINGS.rules, drain_grace=2.0))
+# 6 s until a change counts as known, plus the drain grace, minus a margin.
+CONFIRMATION_LIFETIME_SECONDS = 7.5
 
 
 def confirmed_harness(servers=3):
-    harness = BalancerHarness([entry(n) for n in range(1, servers + 1)], GRACE)
+    harness = BalancerHarness([entry(number) for number in range(1, servers + 1)], SETTINGS_WITH_DRAIN_GRACE)
     harness.balancer.handle(harness.now, EndpointListConfirmed())
     return harness
 
 
-def test_a_list_that_cannot_be_refreshed_is_used_while_the_drain_rule_is_certain():
-    """Guards against attempts at a server that drains and whose state could not be learned for more than 6 s."""
+def test_unconfirmed_list_is_used_only_until_its_confirmation_expires():
+    """Guards against attempts on a draining server whose state the balancer could not learn for more than 6 s."""
     harness = confirmed_harness()
-    harness.now += CERTAIN_SECONDS - 0.01
+    harness.now += CONFIRMATION_LIFETIME_SECONDS - 0.01
     assert isinstance(harness.ask()[0], StartAttempt)
     harness.now += 0.02
-    (answer,) = harness.ask()
-    assert isinstance(answer, Reject) and answer.reason is RejectReason.ENDPOINTS_UNCONFIRMED
+    (action,) = harness.ask()
+    assert isinstance(action, Reject) and action.reason is RejectReason.ENDPOINTS_UNCONFIRMED
     harness.balancer.handle(harness.now, EndpointListConfirmed())
     assert isinstance(harness.ask()[0], StartAttempt)
 
 
-def test_a_server_that_accepts_attempts_stays_in_use_without_the_list():
-    """One that drains takes no new connections, so an acceptance tells that it did not."""
+def test_server_that_accepts_attempts_stays_in_use_without_a_confirmed_list():
+    """A draining server accepts no new connections, so an accepted attempt proves that the server was not draining."""
     harness = confirmed_harness()
     harness.now += 5.0
     accepted = harness.place().server
@@ -220,35 +229,35 @@
     for _ in range(6):
         assert harness.place().server == accepted
         harness.now += 5.0
-    harness.now += CERTAIN_SECONDS
+    harness.now += CONFIRMATION_LIFETIME_SECONDS
     assert isinstance(harness.ask()[0], Reject)
 
 
-def test_a_server_that_rejects_is_not_confirmed_by_it():
+def test_rejected_attempt_does_not_confirm_its_server():
     harness = confirmed_harness(servers=1)
     harness.now += 5.0
-    (send,) = harness.ask()
-    harness.end(send, Outcome.REJECTED)
-    harness.now += CERTAIN_SECONDS - 4.9
+    (attempt,) = harness.ask()
+    harness.end(attempt, Outcome.REJECTED)
+    harness.now += CONFIRMATION_LIFETIME_SECONDS - 4.9
     assert isinstance(harness.ask()[0], Reject)
 
 
-def test_without_a_watch_of_its_own_a_balancer_uses_the_list_that_it_is_given():
-    """In the simulator, with a list of the configuration, and with pushed lists."""
-    harness = BalancerHarness([entry(1)], GRACE)
+def test_balancer_without_a_watch_uses_its_list_without_confirmation():
+    """This is so in the simulator, with the list in the configuration, and with pushed lists."""
+    harness = BalancerHarness([entry(1)], SETTINGS_WITH_DRAIN_GRACE)
     harness.now += 1000.0
     assert isinstance(harness.ask()[0], StartAttempt)
 
 
-def test_the_last_check_before_the_first_byte_asks_for_the_confirmation_too():
+def test_attempt_and_adoption_may_not_start_after_the_confirmation_has_expired():
     clock = SimpleNamespace(now=100.0)
     services = SimpleNamespace(timers_changed=lambda: None, check_health=lambda server: None)
     handler = SimpleNamespace(act=lambda action: None, client_is_connected=lambda: True)
-    driver = Driver(GRACE, 1, services, lambda: clock.now)
+    driver = Driver(SETTINGS_WITH_DRAIN_GRACE, 1, services, lambda: clock.now)
     driver.start((Endpoint(1),))
     driver.endpoint_list_confirmed()
-    clock.now += CERTAIN_SECONDS - 0.1
+    clock.now += CONFIRMATION_LIFETIME_SECONDS - 0.1
     driver.submit(handler, Request("a", 0, 3.0))
     assert driver.may_start_attempt("a") and driver.may_start_adoption(handler, 1)
-    clock.now += 0.2  # the connection came up late
+    clock.now += 0.2  # the connection was established late
     assert not driver.may_start_attempt("a") and not driver.may_start_adoption(handler, 1)
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -1,4 +1,4 @@
-"""How old the list may be: what discovery has is known in time, whatever fell silent, was cut, hung or came twice."""
+"""Staleness of the endpoint list: changes are learned in time if calls fall silent, break, hang or respond twice."""
 
 import json
 import signal
@@ -25,21 +25,26 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def chunk(data):
+def http_chunk(data):
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def listed(rev, *uids, full=True, indent=None, state="active"):
-    targets = [{"uid": u, "endpoint": "127.0.0.1:9", "state": state} for u in uids]
-    return json.dumps({"rev": rev, "all": full, "targets": targets}, indent=indent).encode() + b"\n"
+def endpoint_list(revision, *uids, complete=True, indent=None, state="active"):
+    targets = [{"uid": uid, "endpoint": "127.0.0.1:9", "state": state} for uid in uids]
+    return json.dumps({"rev": revision, "all": complete, "targets": targets}, indent=indent).encode() + b"\n"
 
 
-class Scripted(Server):
-    """Each call is answered by the next of its scripts, the last one by the last again."""
+class ScriptedDiscovery(Server):
+    """Serves each call by the next of its scripts; the last script serves all further calls.
+
+    Attributes:
+        calls: The request target of each call.
+        signals: Events that a test sets and a script waits for, by name.
+    """
 
     def __init__(self, *scripts):
         self.scripts, self.calls = list(scripts), []
-        self.go = defaultdict(threading.Event)  # what a script waits for
+        self.signals = defaultdict(threading.Event)
         super().__init__()
 
     def serve(self, connection):
@@ -52,24 +57,26 @@
         self.scripts[min(number, len(self.scripts) - 1)](self, connection)
         self.over.wait()
 
-    def drip(self, connection, data):
-        """The same again and again, quicker than silence would be found."""
+    def send_repeatedly(self, connection, data):
+        """Send the same data every 10 ms, far more often than the silence timeout."""
         with suppress(OSError):
             while not self.over.wait(0.01):
                 connection.sendall(data)
 
 
-def follows(*values):
-    """A watch that gives these and then lives."""
+def serve_watch(*values):
+    """Return a script that sends these values and then heartbeats."""
 
     def script(server, connection):
-        connection.sendall(HEAD + b"".join(map(chunk, values)))
-        server.drip(connection, chunk(b"\r\n"))
+        connection.sendall(HEAD + b"".join(map(http_chunk, values)))
+        server.send_repeatedly(connection, http_chunk(b"\r\n"))
 
     return script
 
 
-def sends(data, then=None):
+def send_data(data, then=None):
+    """Return a script that sends this data and then calls `then` with the connection."""
+
     def script(server, connection):
         connection.sendall(data)
         if then is not None:
@@ -78,22 +85,22 @@
     return script
 
 
-def refuses(server, connection):
+def reject_call(server, connection):
     connection.sendall(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-def hangs(server, connection):
+def hang(server, connection):
     pass
 
 
-class Told:
-    """A driver and a fleet that note down what they are told."""
+class RecordingDriver:
+    """Stands in for the driver and the registry: records each update, and raises in the first `faults` updates."""
 
     def __init__(self):
-        self.lists, self.faults = [], 0
+        self.updates, self.faults = [], 0
 
     def update_endpoints(self, scope, entries=()):
-        self.lists.append((scope, entries))
+        self.updates.append((scope, entries))
 
     def endpoint_list_confirmed(self):
         pass
@@ -101,20 +108,20 @@
     def apply(self, update):
         if self.faults:
             self.faults -= 1
-            raise RuntimeError("a fault on the way")
-        return update.revision, sorted(t.uid for t in update.endpoints)
+            raise RuntimeError("an injected fault")
+        return update.revision, sorted(record.uid for record in update.endpoints)
 
     @property
-    def revs(self):
-        return [entries[0] for _, entries in self.lists]
+    def revisions(self):
+        return [entries[0] for _, entries in self.updates]
 
 
-def play(server, script, rev=0, faults=0, agent=False, **times):
-    """Keep a watch there, times shortened, while the script looks on."""
-    told, events = Told(), []
-    told.faults = faults
-    log = SimpleNamespace(event=lambda name, **more: events.append((name, more)))
-    short = {
+def run_watcher(server, scenario, revision=0, faults=0, is_local_agent=False, **timeouts):
+    """Run a watcher against a server, with shortened timeouts, until the scenario has ended."""
+    driver, events = RecordingDriver(), []
+    driver.faults = faults
+    log = SimpleNamespace(event=lambda name, **fields: events.append((name, fields)))
+    shortened = {
         "SILENCE_TIMEOUT_SECONDS": 0.15,
         "CONNECT_TIMEOUT_SECONDS": 0.5,
         "HEDGE_DELAY_SECONDS": 0.1,
@@ -122,84 +129,90 @@
         "HEARTBEAT_SECONDS": 0.05,
         "INITIAL_BACKOFF_SECONDS": 0.02,
         "MAX_BACKOFF_SECONDS": 0.05,
-        **times,
+        **timeouts,
     }
 
     async def main():
         with pytest.MonkeyPatch.context() as patch, trio.fail_after(WAIT):
-            for name, value in short.items():
+            for name, value in shortened.items():
                 patch.setattr(watch_policy, name, value)
-            calls = EndpointWatcher(server.address, told, told, Counters(), log, is_local_agent=agent)
-            calls.revision = rev
+            watcher = EndpointWatcher(server.address, driver, driver, Counters(), log, is_local_agent=is_local_agent)
+            watcher.revision = revision
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(calls.watch)
-                await script(SimpleNamespace(calls=calls, told=told, events=events, server=server))
+                nursery.start_soon(watcher.watch)
+                await scenario(SimpleNamespace(watcher=watcher, driver=driver, events=events, server=server))
                 nursery.cancel_scope.cancel()
 
     try:
         trio.run(main)
     finally:
         server.close()
-    return told, events
+    return driver, events
 
 
-async def seen(done):
-    while not done():
+async def wait_until(condition):
+    while not condition():
         await trio.sleep(0.005)
 
 
-# ------------------------------------------------------------ the sum
+# ------------------------------------------------------------ timing limits
 
 
-def test_the_worst_case_lies_under_the_letter_s_six_seconds():
-    """Silence or a lost call with its wait; then one call that hangs; then one that comes up and has its turn."""
-    m = watch_policy
-    assert m.SILENCE_TIMEOUT_SECONDS > m.HEARTBEAT_SECONDS  # a sender that lives is not called silent
-    begins = max(m.SILENCE_TIMEOUT_SECONDS, m.CONNECT_TIMEOUT_SECONDS + m.MAX_BACKOFF_SECONDS, m.START_JITTER_SECONDS)
+def test_worst_case_staleness_is_below_the_allowed_six_seconds():
+    """Worst case: silence, or a lost call and its backoff; then a call that hangs; then a call that is queued."""
+    policy = watch_policy
+    assert policy.SILENCE_TIMEOUT_SECONDS > policy.HEARTBEAT_SECONDS  # a sender of heartbeats is not silent
+    first_delay = max(
+        policy.SILENCE_TIMEOUT_SECONDS,
+        policy.CONNECT_TIMEOUT_SECONDS + policy.MAX_BACKOFF_SECONDS,
+        policy.START_JITTER_SECONDS,
+    )
     assert (
-        begins + m.HEDGE_DELAY_SECONDS + m.CONNECT_TIMEOUT_SECONDS + m.QUEUED_RESPONSE_SECONDS
-        == m.WORST_CASE_STALENESS_SECONDS
-        < m.MAX_STALENESS_SECONDS
+        first_delay + policy.HEDGE_DELAY_SECONDS + policy.CONNECT_TIMEOUT_SECONDS + policy.QUEUED_RESPONSE_SECONDS
+        == policy.WORST_CASE_STALENESS_SECONDS
+        < policy.MAX_STALENESS_SECONDS
     )
-    assert m.INITIAL_BACKOFF_SECONDS <= m.MAX_BACKOFF_SECONDS and m.RELOCATION_SECONDS <= 4.0
+    assert policy.INITIAL_BACKOFF_SECONDS <= policy.MAX_BACKOFF_SECONDS and policy.RELOCATION_SECONDS <= 4.0
 
 
-def test_an_agent_is_asked_again_within_the_grace_of_a_drain():
-    """What it gets as discovery returns counts at once."""
-    calls = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, is_local_agent=True)
+def test_local_agent_is_called_again_within_the_drain_grace():
+    """Changes that a local agent receives from a recovering service count as known at once."""
+    watcher = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, is_local_agent=True)
 
     async def main():
-        assert max(calls._backoff_delay(n) for n in range(20)) <= watch_policy.AGENT_MAX_BACKOFF_SECONDS
+        assert (
+            max(watcher._backoff_delay(failures) for failures in range(20)) <= watch_policy.AGENT_MAX_BACKOFF_SECONDS
+        )
 
     trio.run(main)
     assert watch_policy.AGENT_RESPONSE_TIMEOUT_SECONDS + watch_policy.AGENT_MAX_BACKOFF_SECONDS <= 1.0
 
 
-def test_an_agent_that_hangs_is_asked_anew_without_another_call_beside():
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert "discovery_calls_hedged" not in p.calls._counters
+def test_hung_call_to_a_local_agent_is_repeated_without_a_hedged_call():
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert "discovery_calls_hedged" not in context.watcher._counters
 
-    play(
-        Scripted(hangs, hangs, follows(listed(9, "s-0"))),
-        script,
+    run_watcher(
+        ScriptedDiscovery(hang, hang, serve_watch(endpoint_list(9, "s-0"))),
+        scenario,
         AGENT_RESPONSE_TIMEOUT_SECONDS=0.15,
         RESPONSE_TIMEOUT_SECONDS=WAIT,
         HEDGE_DELAY_SECONDS=0.02,
-        agent=True,
+        is_local_agent=True,
     )
 
 
 @hypothesis.seed(0xC10F8EFB5DE9695B4E9E370EF9FB4C44956406B1BF8219AFD2EEA1BAE0F16E768C5810CA406B57436153FA86FD0B2896)
 @given(st.integers(0, 40))
-def test_a_back_off_never_grows_beyond_its_part_of_the_sum(failures):
+def test_backoff_stays_within_its_limit_and_is_jittered(failures):
     async def main():
-        calls = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, seed=failures)
-        waits = [calls._backoff_delay(failures) for _ in range(50)]
-        assert min(waits) > 0 and max(waits) <= watch_policy.MAX_BACKOFF_SECONDS
-        assert len(set(waits)) == 50  # hundreds that failed together do not come as one
-        calls.change_address(("127.0.0.1", 10))
-        assert max(calls._backoff_delay(failures) for _ in range(50)) <= watch_policy.INITIAL_BACKOFF_SECONDS
+        watcher = EndpointWatcher(("127.0.0.1", 9), None, None, Counters(), None, seed=failures)
+        delays = [watcher._backoff_delay(failures) for _ in range(50)]
+        assert min(delays) > 0 and max(delays) <= watch_policy.MAX_BACKOFF_SECONDS
+        assert len(set(delays)) == 50  # balancers whose calls failed together do not retry together
+        watcher.change_address(("127.0.0.1", 10))
+        assert max(watcher._backoff_delay(failures) for _ in range(50)) <= watch_policy.INITIAL_BACKOFF_SECONDS
 
     trio.run(main)
 
@@ -215,317 +228,347 @@
     st.lists(st.integers(1, 60), max_size=8),
     st.sampled_from([b"\n", b"\r\n"]),
 )
-def test_values_are_whole_however_they_are_indented_and_cut(lists, cuts, end):
-    """Among the uids are brackets, quotes and backslashes."""
-    wanted, data = [], b""
+def test_values_are_complete_for_any_indentation_and_segmentation(lists, segment_lengths, line_end):
+    """The uids contain brackets, quotes and backslashes."""
+    expected, data = [], b""
     for uids, indent in lists:
-        value = {"rev": 1, "all": True, "targets": [{"uid": u + '{"['} for u in uids]}
-        wanted.append(value)
-        data += json.dumps(value, indent=indent).encode().replace(b"\n", end) + end + end
-    values, got, at = JsonValueSplitter(), [], 0
-    for cut in [*cuts, len(data) + 1]:
-        got += values.feed(data[at : at + cut])
-        at += cut
-    assert [json.loads(v) for v in got if v] == wanted and values.finish() is None
+        value = {"rev": 1, "all": True, "targets": [{"uid": uid + '{"['} for uid in uids]}
+        expected.append(value)
+        data += json.dumps(value, indent=indent).encode().replace(b"\n", line_end) + line_end + line_end
+    splitter, values, offset = JsonValueSplitter(), [], 0
+    for length in [*segment_lengths, len(data) + 1]:
+        values += splitter.feed(data[offset : offset + length])
+        offset += length
+    assert [json.loads(document) for document in values if document] == expected and splitter.finish() is None
 
 
 @pytest.mark.parametrize("data", [b"x" * (MAX_VALUE_BYTES + 1), b"{\n" + b'"a":1,\n' * (MAX_VALUE_BYTES // 7 + 1)])
-def test_a_list_is_bound_however_it_comes(data):
-    values = JsonValueSplitter()
+def test_value_over_the_size_limit_raises_an_error(data):
+    splitter = JsonValueSplitter()
     with pytest.raises(ValueTooLongError, match="longer than"):
-        for at in range(0, len(data), 65536):
-            list(values.feed(data[at : at + 65536]))
+        for offset in range(0, len(data), 65536):
+            list(splitter.feed(data[offset : offset + 65536]))
 
 
-def test_a_stream_that_ends_within_a_value_has_not_given_it():
-    values = JsonValueSplitter()
-    assert list(values.feed(listed(1, "s-0", indent=1)[:-5])) == []
+def test_stream_that_ends_within_a_value_raises_an_error_and_yields_no_value():
+    splitter = JsonValueSplitter()
+    assert list(splitter.feed(endpoint_list(1, "s-0", indent=1)[:-5])) == []
     with pytest.raises(IncompleteValueError, match="ends within"):
-        values.finish()
+        splitter.finish()
 
 
 # ------------------------------------------------------------ silence
 
 
 @pytest.mark.parametrize(
-    "drip",
+    "data",
     [
         b" ",
         b"{",
         b'{"rev":',
-        chunk(b" "),
-        chunk(b'{"rev":'),
-        chunk(b"{\n"),
-        chunk(b'{"rev":2,\n"all":\n'),
+        http_chunk(b" "),
+        http_chunk(b'{"rev":'),
+        http_chunk(b"{\n"),
+        http_chunk(b'{"rev":2,\n"all":\n'),
     ],
     ids=repr,
 )
-def test_only_what_is_whole_is_a_sign_of_life(drip):
-    def never_whole(server, connection):
-        connection.sendall(HEAD + chunk(listed(1, "s-0")))
-        server.go["heard"].wait(WAIT)
-        server.drip(connection, drip)
+def test_incomplete_data_does_not_prevent_the_silence_timeout(data):
+    def never_complete(server, connection):
+        connection.sendall(HEAD + http_chunk(endpoint_list(1, "s-0")))
+        server.signals["first list applied"].wait(WAIT)
+        server.send_repeatedly(connection, data)
 
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        p.server.go["heard"].set()
-        await seen(lambda: len(p.told.lists) == 2)
-        assert p.told.lists[-1] == (EndpointUpdateScope.COMPLETE, (2, ["s-1"]))
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        context.server.signals["first list applied"].set()
+        await wait_until(lambda: len(context.driver.updates) == 2)
+        assert context.driver.updates[-1] == (EndpointUpdateScope.COMPLETE, (2, ["s-1"]))
 
-    play(Scripted(never_whole, follows(listed(2, "s-1"))), script)
+    run_watcher(ScriptedDiscovery(never_complete, serve_watch(endpoint_list(2, "s-1"))), scenario)
 
 
-def test_empty_lines_within_a_value_are_none():
-    def never_whole(server, connection):
-        connection.sendall(HEAD + chunk(listed(1, "s-0") + b'{"rev": 2,\n'))
-        server.drip(connection, chunk(b"\r\n"))
+def test_empty_lines_within_a_value_are_not_heartbeats():
+    def never_complete(server, connection):
+        connection.sendall(HEAD + http_chunk(endpoint_list(1, "s-0") + b'{"rev": 2,\n'))
+        server.send_repeatedly(connection, http_chunk(b"\r\n"))
 
-    async def script(p):
-        await seen(lambda: len(p.told.lists) == 2)
-        assert p.told.revs == [1, 3]
+    async def scenario(context):
+        await wait_until(lambda: len(context.driver.updates) == 2)
+        assert context.driver.revisions == [1, 3]
 
-    play(Scripted(never_whole, follows(listed(3, "s-1"))), script)
+    run_watcher(ScriptedDiscovery(never_complete, serve_watch(endpoint_list(3, "s-1"))), scenario)
 
 
-def test_empty_lines_are_signs_of_life():
-    async def script(p):
-        await seen(lambda: p.told.lists)
+def test_heartbeats_keep_a_watch_open():
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
         await trio.sleep(3 * watch_policy.SILENCE_TIMEOUT_SECONDS)
-        assert len(p.server.calls) == 1
+        assert len(context.server.calls) == 1
 
-    play(Scripted(follows(listed(1, "s-0"))), script)
+    run_watcher(ScriptedDiscovery(serve_watch(endpoint_list(1, "s-0"))), scenario)
 
 
 @pytest.mark.parametrize(
-    "first", [hangs, sends(HEAD), sends(HEAD + b"10\r\n"), sends(b"HTTP/1.1 200 OK\r\n\r\n"), sends(b"HTTP/1.1 2")]
+    "first_script",
+    [
+        hang,
+        send_data(HEAD),
+        send_data(HEAD + b"10\r\n"),
+        send_data(b"HTTP/1.1 200 OK\r\n\r\n"),
+        send_data(b"HTTP/1.1 2"),
+    ],
 )
-def test_a_watch_that_is_silent_from_its_first_moment_gets_another_beside_it(first):
-    """Not given up, as it may only wait its turn; but the change is not waited for either."""
-
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert p.told.revs == [3] and len(p.server.calls) == 2
-        await seen(lambda: len(p.calls._calls) == 1)  # the one that is followed
-        p.server.connections[0].settimeout(WAIT)
-        assert p.server.connections[0].recv(10) == b""  # the other was closed
-
-    play(Scripted(first, follows(listed(3, "s-0"))), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
+def test_call_without_a_complete_line_is_hedged_and_the_first_to_respond_is_followed(first_script):
+    """The first call is not cancelled, since it may only be queued, but it must not delay the change."""
+
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert context.driver.revisions == [3] and len(context.server.calls) == 2
+        await wait_until(lambda: len(context.watcher._calls) == 1)  # only the followed call is left
+        context.server.connections[0].settimeout(WAIT)
+        assert context.server.connections[0].recv(10) == b""  # the hung call was closed
+
+    run_watcher(
+        ScriptedDiscovery(first_script, serve_watch(endpoint_list(3, "s-0"))), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT
+    )
 
 
-def test_the_slower_of_two_calls_does_not_end_the_one_that_is_followed():
-    def late(server, connection):
-        server.go["second"].wait(WAIT)
-        follows(listed(4, "s-0"))(server, connection)
+def test_hung_hedged_call_does_not_end_the_followed_call():
+    def serve_late(server, connection):
+        server.signals["second call made"].wait(WAIT)
+        serve_watch(endpoint_list(4, "s-0"))(server, connection)
 
-    async def script(p):
-        await seen(lambda: len(p.server.calls) == 2)
-        p.server.go["second"].set()  # now the first has its turn
-        await seen(lambda: p.told.lists)
+    async def scenario(context):
+        await wait_until(lambda: len(context.server.calls) == 2)
+        context.server.signals["second call made"].set()  # the first call is served now
+        await wait_until(lambda: context.driver.updates)
         await trio.sleep(0.3)
-        assert p.told.revs == [4] and len(p.server.calls) == 2 and len(p.calls._calls) == 1
+        assert context.driver.revisions == [4] and len(context.server.calls) == 2 and len(context.watcher._calls) == 1
 
-    play(Scripted(late, hangs), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(ScriptedDiscovery(serve_late, hang), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT)
 
 
-# ------------------------------------------------------------ answers that break
+# ------------------------------------------------------------ invalid responses
 
 
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
+CONTENT_LENGTH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "script",
     [
-        sends(HEAD + chunk(listed(7, "s-0"))[:40], reset),  # within a list
-        sends(HEAD + chunk(listed(7, "s-0", indent=2)[:60]) + b"0\r\n\r\n"),  # ends as if whole, within a list
-        sends(WHOLE % 500 + listed(7, "s-0")[:-1], reset),  # shorter than it said, its value without an end
-        sends(HEAD, reset),
-        refuses,
-        sends(b"", reset),
-        sends(b"\0\xff\r\n\r\n", reset),
-        sends(HEAD + chunk(b"x" * 50 + b"\n")),
-        sends(HEAD + chunk(b'{"targets": 5}\n')),
-        sends(HEAD + chunk(b'{"targets": [{"uid": ""}]}\n')),
-        sends(HEAD + chunk(b"y" * 65536) * 40),
+        # The connection is reset within a list.
+        send_data(HEAD + http_chunk(endpoint_list(7, "s-0"))[:40], reset),
+        # The response ends regularly, but within a list.
+        send_data(HEAD + http_chunk(endpoint_list(7, "s-0", indent=2)[:60]) + b"0\r\n\r\n"),
+        # The response is shorter than its Content-Length, and its value lacks the line end.
+        send_data(CONTENT_LENGTH_HEAD % 500 + endpoint_list(7, "s-0")[:-1], reset),
+        send_data(HEAD, reset),
+        reject_call,
+        send_data(b"", reset),
+        send_data(b"\0\xff\r\n\r\n", reset),
+        send_data(HEAD + http_chunk(b"x" * 50 + b"\n")),
+        send_data(HEAD + http_chunk(b'{"targets": 5}\n')),
+        send_data(HEAD + http_chunk(b'{"targets": [{"uid": ""}]}\n')),
+        send_data(HEAD + http_chunk(b"y" * 65536) * 40),
     ],
 )
-def test_an_answer_that_is_cut_or_garbage_changes_nothing_and_is_asked_for_again(cut):
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert p.told.revs == [9] and p.calls.revision == 9
-        assert p.server.calls[:2] == [f"{DISCOVERY_PATH}?watch=1&from=5"] * 2
+def test_truncated_or_invalid_response_changes_nothing_and_the_call_is_repeated(script):
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert context.driver.revisions == [9] and context.watcher.revision == 9
+        assert context.server.calls[:2] == [f"{DISCOVERY_PATH}?watch=1&from=5"] * 2
 
-    play(Scripted(cut, follows(listed(9, "s-0"))), script, rev=5)
+    run_watcher(ScriptedDiscovery(script, serve_watch(endpoint_list(9, "s-0"))), scenario, revision=5)
 
 
-@pytest.mark.parametrize("then", [reset, lambda connection: connection.shutdown(1)])
-def test_a_whole_list_counts_though_its_connection_is_cut_right_after(then):
-    def cut(server, connection):
-        connection.sendall(HEAD + chunk(listed(7, "s-0")))
-        server.go["taken"].wait(WAIT)
-        then(connection)
+@pytest.mark.parametrize("break_connection", [reset, lambda connection: connection.shutdown(1)])
+def test_complete_list_is_applied_if_its_connection_breaks_right_after_it(break_connection):
+    def list_then_break(server, connection):
+        connection.sendall(HEAD + http_chunk(endpoint_list(7, "s-0")))
+        server.signals["list applied"].wait(WAIT)
+        break_connection(connection)
 
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert p.calls.revision == 7
-        p.server.go["taken"].set()
-        await seen(lambda: len(p.told.lists) == 2)
-        assert p.server.calls[1].endswith("from=7")
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert context.watcher.revision == 7
+        context.server.signals["list applied"].set()
+        await wait_until(lambda: len(context.driver.updates) == 2)
+        assert context.server.calls[1].endswith("from=7")
 
-    play(Scripted(cut, follows(listed(8, "s-1", full=False))), script)
+    run_watcher(ScriptedDiscovery(list_then_break, serve_watch(endpoint_list(8, "s-1", complete=False))), scenario)
 
 
-def test_a_fault_on_the_way_does_not_lose_the_change():
-    """The version was raised first, so that what a fault had swallowed was never asked for again."""
+def test_update_lost_by_an_internal_error_is_requested_again():
+    """Guards against setting the revision before applying the update: one that failed was never requested again."""
 
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert p.server.calls[1].endswith("from=5") and p.told.revs == [6]
-        assert [more["error"] for name, more in p.events if name == "internal_error"]
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert context.server.calls[1].endswith("from=5") and context.driver.revisions == [6]
+        assert [fields["error"] for name, fields in context.events if name == "internal_error"]
 
-    play(Scripted(follows(listed(6, "s-0"))), script, rev=5, faults=1)
+    run_watcher(ScriptedDiscovery(serve_watch(endpoint_list(6, "s-0"))), scenario, revision=5, faults=1)
 
 
-def test_many_refusals_in_a_row_are_asked_again_within_the_back_off_s_end():
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        assert len(p.server.calls) == 13
+def test_calls_are_repeated_in_time_after_many_rejections_in_a_row():
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        assert len(context.server.calls) == 13
 
-    play(Scripted(*[refuses] * 12, follows(listed(9, "s-0"))), script)
+    run_watcher(ScriptedDiscovery(*[reject_call] * 12, serve_watch(endpoint_list(9, "s-0"))), scenario)
 
 
-# ------------------------------------------------------------ older and newer
+# ------------------------------------------------------------ outdated updates
 
 
-def test_a_whole_list_asked_for_before_a_newer_change_does_not_replace_it():
-    """The first call has its turn only after the second gave a change."""
+def test_complete_list_requested_before_a_newer_change_is_ignored():
+    """The first call is served only after the second has returned a change."""
 
-    def late(server, connection):
-        server.go["later"].wait(WAIT)
-        connection.sendall(HEAD + chunk(listed(5, "old")))
+    def serve_late(server, connection):
+        server.signals["change applied"].wait(WAIT)
+        connection.sendall(HEAD + http_chunk(endpoint_list(5, "old")))
 
-    async def script(p):
-        await seen(lambda: len(p.server.calls) == 2)
-        p.calls._calls[0].scope = trio.CancelScope()  # it is not reached by the cancel in time
-        p.server.go["change"].set()
-        await seen(lambda: p.told.lists)
-        p.server.go["later"].set()
-        await seen(lambda: p.calls._counters["endpoint_updates_ignored"])
-        assert p.told.revs == [6] and p.calls.revision == 6
+    async def scenario(context):
+        await wait_until(lambda: len(context.server.calls) == 2)
+        context.watcher._calls[0].scope = trio.CancelScope()  # so that the first call is not cancelled in time
+        context.server.signals["first call kept"].set()
+        await wait_until(lambda: context.driver.updates)
+        context.server.signals["change applied"].set()
+        await wait_until(lambda: context.watcher._counters["endpoint_updates_ignored"])
+        assert context.driver.revisions == [6] and context.watcher.revision == 6
 
-    def change(server, connection):
-        server.go["change"].wait(WAIT)
-        follows(listed(6, "new", full=False))(server, connection)
+    def serve_change(server, connection):
+        server.signals["first call kept"].wait(WAIT)
+        serve_watch(endpoint_list(6, "new", complete=False))(server, connection)
 
-    play(Scripted(late, change), script, rev=4, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(ScriptedDiscovery(serve_late, serve_change), scenario, revision=4, RESPONSE_TIMEOUT_SECONDS=WAIT)
 
 
-def test_a_discovery_that_started_anew_counts_from_low_and_is_believed():
-    def restarts(server, connection):
-        connection.sendall(HEAD + chunk(listed(40, "s-0")))
-        server.go["known"].wait(WAIT)
+def test_lower_revisions_of_a_restarted_service_are_applied():
+    def list_then_restart(server, connection):
+        connection.sendall(HEAD + http_chunk(endpoint_list(40, "s-0")))
+        server.signals["list applied"].wait(WAIT)
         reset(connection)
 
-    async def script(p):
-        await seen(lambda: p.told.lists)
-        p.server.go["known"].set()
-        await seen(lambda: len(p.told.lists) == 4)
-        assert p.told.revs == [40, 2, 3, 4] and p.calls.revision == 4
-
-    play(
-        Scripted(restarts, follows(listed(2, "s-1"), listed(3, "s-2", full=False), listed(4, "s-3", full=False))),
-        script,
+    async def scenario(context):
+        await wait_until(lambda: context.driver.updates)
+        context.server.signals["list applied"].set()
+        await wait_until(lambda: len(context.driver.updates) == 4)
+        assert context.driver.revisions == [40, 2, 3, 4] and context.watcher.revision == 4
+
+    run_watcher(
+        ScriptedDiscovery(
+            list_then_restart,
+            serve_watch(
+                endpoint_list(2, "s-1"),
+                endpoint_list(3, "s-2", complete=False),
+                endpoint_list(4, "s-3", complete=False),
+            ),
+        ),
+        scenario,
     )
 
 
-def test_changes_older_than_what_is_known_are_passed_over():
-    async def script(p):
-        await seen(lambda: len(p.told.lists) == 2)
-        assert p.told.revs == [6, 7]
+def test_change_with_an_older_revision_is_ignored():
+    async def scenario(context):
+        await wait_until(lambda: len(context.driver.updates) == 2)
+        assert context.driver.revisions == [6, 7]
 
-    play(Scripted(follows(listed(6, "s-0"), listed(5, "s-1", full=False), listed(7, "s-2", full=False))), script)
+    run_watcher(
+        ScriptedDiscovery(
+            serve_watch(
+                endpoint_list(6, "s-0"),
+                endpoint_list(5, "s-1", complete=False),
+                endpoint_list(7, "s-2", complete=False),
+            )
+        ),
+        scenario,
+    )
 
 
-def test_what_is_out_at_the_old_address_tells_nothing_after_a_move():
-    new = Scripted(follows(listed(2, "new")))
+def test_response_from_the_old_address_is_ignored_after_an_address_change():
+    new_server = ScriptedDiscovery(serve_watch(endpoint_list(2, "new")))
 
-    def late(server, connection):
-        server.go["moved"].wait(WAIT)
+    def serve_late(server, connection):
+        server.signals["address changed"].wait(WAIT)
         with suppress(OSError):
-            connection.sendall(HEAD + chunk(listed(9, "old")))
+            connection.sendall(HEAD + http_chunk(endpoint_list(9, "old")))
 
-    async def script(p):
-        await seen(lambda: p.server.calls)
-        p.calls.change_address(new.address)
-        p.server.go["moved"].set()
-        await seen(lambda: p.told.lists)
+    async def scenario(context):
+        await wait_until(lambda: context.server.calls)
+        context.watcher.change_address(new_server.address)
+        context.server.signals["address changed"].set()
+        await wait_until(lambda: context.driver.updates)
         await trio.sleep(0.1)
-        assert p.told.revs == [2]
+        assert context.driver.revisions == [2]
 
-    play(Scripted(late), script, RESPONSE_TIMEOUT_SECONDS=WAIT)
-    new.close()
+    run_watcher(ScriptedDiscovery(serve_late), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    new_server.close()
 
 
-@pytest.mark.parametrize("meanwhile", [hangs, refuses, sends(HEAD), follows(listed(1, "old"))])
-def test_a_move_in_any_state_is_followed_at_once(meanwhile):
-    """Called, waited, followed: the new address is asked without the wait that the old one has earned."""
-    new = Scripted(refuses, follows(listed(2, "new")))
+@pytest.mark.parametrize("old_script", [hang, reject_call, send_data(HEAD), serve_watch(endpoint_list(1, "old"))])
+def test_address_change_takes_effect_at_once_in_any_state_of_the_watch(old_script):
+    """While connecting, waiting or following, the new address is called without the backoff of the old one."""
+    new_server = ScriptedDiscovery(reject_call, serve_watch(endpoint_list(2, "new")))
 
-    async def script(p):
-        await seen(lambda: p.server.calls)
-        p.calls.change_address(new.address)
-        await seen(lambda: (2, ["new"]) in [entries for _, entries in p.told.lists])
+    async def scenario(context):
+        await wait_until(lambda: context.server.calls)
+        context.watcher.change_address(new_server.address)
+        await wait_until(lambda: (2, ["new"]) in [entries for _, entries in context.driver.updates])
 
-    play(Scripted(meanwhile), script, MAX_BACKOFF_SECONDS=WAIT, RESPONSE_TIMEOUT_SECONDS=WAIT)
-    new.close()
+    run_watcher(ScriptedDiscovery(old_script), scenario, MAX_BACKOFF_SECONDS=WAIT, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    new_server.close()
 
 
-def test_a_move_ends_the_back_off_that_the_old_address_has_earned():
-    new = Scripted(follows(listed(2, "new")))
+def test_address_change_ends_the_backoff_caused_by_the_old_address():
+    new_server = ScriptedDiscovery(serve_watch(endpoint_list(2, "new")))
 
-    async def script(p):
-        await seen(lambda: [name for name, _ in p.events if name == "discovery_call_failed"])
+    async def scenario(context):
+        await wait_until(lambda: [name for name, _ in context.events if name == "discovery_call_failed"])
         await trio.testing.wait_all_tasks_blocked()
-        p.calls.change_address(new.address)
-        await seen(lambda: p.told.lists)
+        context.watcher.change_address(new_server.address)
+        await wait_until(lambda: context.driver.updates)
 
-    play(Scripted(refuses), script, INITIAL_BACKOFF_SECONDS=3 * WAIT, MAX_BACKOFF_SECONDS=3 * WAIT)
-    new.close()
+    run_watcher(
+        ScriptedDiscovery(reject_call), scenario, INITIAL_BACKOFF_SECONDS=3 * WAIT, MAX_BACKOFF_SECONDS=3 * WAIT
+    )
+    new_server.close()
 
 
 # ------------------------------------------------------------ the program
 
 
-def test_indented_lists_reach_the_program_and_so_does_a_drain_in_one(world, monkeypatch):
+def test_program_applies_indented_lists_and_a_drain_in_one(world, monkeypatch):
     monkeypatch.setattr(
         Discovery,
         "_update",
-        lambda d, full, targets: (
-            json.dumps({"rev": d.rev, "all": full, "targets": targets}, indent=2).encode() + b"\r\n"
+        lambda discovery, complete, targets: (
+            json.dumps({"rev": discovery.rev, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
         ),
     )
-    w = world()
-    w.drain(w.runners[0])
+    deployment = world()
+    deployment.drain(deployment.runners[0])
     for _ in range(4):
-        with w.client() as c:
-            assert c.open() == b"UP s-1\r\n"
+        with deployment.client() as client:
+            assert client.open() == b"UP s-1\r\n"
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_reload_during_a_refusal_and_sigterm_after_a_drain(tmp_path, pushed):
-    """Signals in each state of the watch; the end comes in time though discovery hangs."""
+def test_reload_while_discovery_rejects_and_sigterm_while_it_hangs_are_handled_in_time(tmp_path, pushed):
+    """The process must exit in time although the discovery call hangs."""
     runner = Runner("s-0")
-    old, new = Scripted(refuses), Scripted(hangs)
+    old_server, new_server = ScriptedDiscovery(reject_call), ScriptedDiscovery(hang)
     settings = {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
-    program = Program(tmp_path, old.address, [runner.target()], settings=settings)
+    program = Program(tmp_path, old_server.address, [runner.target()], settings=settings)
     try:
-        until(lambda: len(old.calls) > 2, "calls")
-        program.reload(discovery=f"{new.address[0]}:{new.address[1]}")
-        until(lambda: new.calls, "a call at the new address")
+        until(lambda: len(old_server.calls) > 2, "calls")
+        program.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
+        until(lambda: new_server.calls, "a call at the new address")
         program.process.send_signal(signal.SIGTERM)
         assert program.process.wait(WAIT) == 0
         assert "internal_errors" not in program.events("counters_reported")[0]["counts"]
     finally:
         program.kill()
-        for s in (old, new, runner):
-            s.close()
+        for server in (old_server, new_server, runner):
+            server.close()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Random mutations of valid messages, and random garbage, for the parsers of front end, discovery and settings."""
+"""Parsers of the front end, discovery and configuration, with mutated valid messages and with random bytes."""
 
 import json
 
@@ -18,8 +18,8 @@
 from aspensaddle.support.json_fields import DecodeError
 
 CLASSES = {"test-run": 0, "draft-save": 1}
-OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=draft-save,d=2000,h=0.5,r=1,g=5c0f6e1a2b3d4c59,again=1\r\n"
-LIST = json.dumps(
+VALID_OPEN = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=draft-save,d=2000,h=0.5,r=1,g=5c0f6e1a2b3d4c59,again=1\r\n"
+VALID_LIST = json.dumps(
     {
         "rev": 41,
         "all": True,
@@ -47,14 +47,14 @@
         ],
     }
 ).encode()
-CONFIG = json.dumps(
+VALID_CONFIG = json.dumps(
     {
         "name": "n3",
         "listen": "127.0.0.1:8000",
         "discovery": "127.0.0.1:8500",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": json.loads(LIST),
+        "known": json.loads(VALID_LIST),
         "settings": {
             "failure-domains": ["a", "b"],
             "lanes": [{"name": "test-run", "aim": 0.3, "deadline": 1.2, "repeat": "pure", "worth": 5.0}],
@@ -65,15 +65,23 @@
 mutations = st.tuples(st.integers(0, 400), st.integers(0, 12), st.binary(max_size=12))
 
 
-def mutate(data, change):
-    at, cut, new = change
-    return data[:at] + new + data[at + cut :]
+def mutate(data, mutation):
+    """Replace bytes at an offset; `mutation` is the offset, the number of bytes removed and the bytes inserted."""
+    offset, removed, inserted = mutation
+    return data[:offset] + inserted + data[offset + removed :]
 
 
-def test_open_is_read_and_only_d_is_written_anew():
-    opened = parse_open(OPEN, CLASSES, groups=True)
-    r = opened.request
-    assert (r.request_id, r.class_index, r.time_left, r.load_hint, r.retried_by_client, r.reconnecting) == (
+def test_open_is_parsed_and_only_its_time_left_is_rewritten():
+    opened = parse_open(VALID_OPEN, CLASSES, groups=True)
+    request = opened.request
+    assert (
+        request.request_id,
+        request.class_index,
+        request.time_left,
+        request.load_hint,
+        request.retried_by_client,
+        request.reconnecting,
+    ) == (
         "9b1f03aa5c7e2d41",
         1,
         2.0,
@@ -81,24 +89,24 @@
         True,
         True,
     )
-    assert opened.line_for_server(0.7504) == OPEN.replace(b"d=2000", b"d=750")
-    again = parse_open(OPEN.replace(b"9b1f", b"0000"), CLASSES, groups=True).request
-    assert (again.affinity_key, again.session_group) == (
-        r.affinity_key,
-        r.session_group,
-    ) and r.affinity_key != r.session_group
-    assert parse_open(OPEN, CLASSES, groups=False).request.session_group is None
-    # a name that ends in d, or a d within a value, is not the wait
+    assert opened.line_for_server(0.7504) == VALID_OPEN.replace(b"d=2000", b"d=750")
+    other = parse_open(VALID_OPEN.replace(b"9b1f", b"0000"), CLASSES, groups=True).request
+    assert (other.affinity_key, other.session_group) == (
+        request.affinity_key,
+        request.session_group,
+    ) and request.affinity_key != request.session_group
+    assert parse_open(VALID_OPEN, CLASSES, groups=False).request.session_group is None
+    # A field name that ends in d, or d= within a value, is not the time left.
     line = b"OPEN i k c=test-run,end=5,d=9,x=d=1\r\n"
     assert parse_open(line, CLASSES, True).line_for_server(1.0) == line.replace(b",d=9", b",d=1000")
 
 
-# The seeds that these two had before an error was renamed: a derandomized test draws by the hash of its source.
+# A derandomized test draws by the hash of its source; the seeds keep the draws of an earlier source.
 @hypothesis.seed(0xB7DCDCAACCD7E930DD37C2D6B467C631612484E48CDEF91293992118C5E0EBF73F7D425D5D56CF52A5D0FC02AD83BF50)
 @given(mutations)
-def test_open_is_read_or_refused(change):
+def test_mutated_open_is_parsed_or_rejected(mutation):
     try:
-        opened = parse_open(mutate(OPEN, change), CLASSES, groups=True)
+        opened = parse_open(mutate(VALID_OPEN, mutation), CLASSES, groups=True)
     except InvalidOpenError:
         return
     assert opened.request.class_index in (0, 1) and opened.request.time_left >= 0
@@ -107,62 +115,64 @@
 
 @hypothesis.seed(0xB4C189410454E0549544FDE7CC2F6A497420AB19CB5052F67422D77B5D5D12E7D546D9C2407C20E9D110FE29F750E5F1)
 @given(st.binary(max_size=200))
-def test_garbage_is_no_open(data):
+def test_random_bytes_are_rejected_as_an_open(data):
     with pytest.raises(InvalidOpenError):
         parse_open(data, CLASSES, groups=True)
 
 
 @hypothesis.seed(0x12617BF2845DF403DE867614DBB33B6A63DB269B127837537C49AECAA066472A774A7EA1301F5EA9D88C75AA74F67624)
 @given(mutations)
-def test_a_list_is_read_or_refused_and_numbered(change):
+def test_mutated_endpoint_list_is_registered_or_rejected(mutation):
     try:
-        update = parse_endpoint_list(load_json(mutate(LIST, change)))
-    except DecodeError as e:
-        assert str(e)
+        update = parse_endpoint_list(load_json(mutate(VALID_LIST, mutation)))
+    except DecodeError as error:
+        assert str(error)
         return
-    fleet = EndpointRegistry(("a", "b"))
-    for entry, target in zip(fleet.apply(update), update.endpoints, strict=True):
-        assert 0 <= entry.server < 2**32
-        assert (fleet.find(target.uid) == entry.server) is (target.state is not ServerState.GONE) or len(
-            {t.uid for t in update.endpoints}
+    registry = EndpointRegistry(("a", "b"))
+    for endpoint, record in zip(registry.apply(update), update.endpoints, strict=True):
+        assert 0 <= endpoint.server < 2**32
+        assert (registry.find(record.uid) == endpoint.server) is (record.state is not ServerState.GONE) or len(
+            {other.uid for other in update.endpoints}
         ) == 1
 
 
+@hypothesis.seed(0x5E198C5FFCB06DF9DEC9F8C30397DBE168DAD36F6ACE4336CAE22F7635C0B1A7313F5ADF5A5B255F1DE3B055C87F2681)
 @given(mutations)
-def test_a_configuration_is_read_or_refused(change):
+def test_mutated_configuration_is_parsed_or_rejected(mutation):
     try:
-        config = parse_config(load_json(mutate(CONFIG, change)))
-    except DecodeError as e:
-        assert str(e)
+        config = parse_config(load_json(mutate(VALID_CONFIG, mutation)))
+    except DecodeError as error:
+        assert str(error)
         return
     assert config.settings.classes and config.limits.sockets >= 64
 
 
-def test_numbers_of_runners_are_the_same_everywhere_and_never_shared(monkeypatch):
-    fleets = EndpointRegistry(()), EndpointRegistry(())
-    for fleet, uids in zip(fleets, (["a", "b", "c"], ["c", "a", "b"]), strict=True):
+def test_server_numbers_are_equal_in_all_registries_and_unique_despite_equal_hashes(monkeypatch):
+    registries = EndpointRegistry(()), EndpointRegistry(())
+    for registry, uids in zip(registries, (["a", "b", "c"], ["c", "a", "b"]), strict=True):
         for uid in uids:
-            fleet.number(uid)
-    assert [fleets[0].number(u) for u in "abc"] == [fleets[1].number(u) for u in "abc"]
-    # two uids with one hash
+            registry.number(uid)
+    assert [registries[0].number(uid) for uid in "abc"] == [registries[1].number(uid) for uid in "abc"]
+    # The uids without a counter appended all have the same hash.
     monkeypatch.setattr(
         "aspensaddle.discovery.endpoint_registry.stable_hash",
         lambda text, bits: 7 if "#" not in text else stable_hash(text, bits),
     )
-    fleet = EndpointRegistry(())
-    assert len({fleet.number(u) for u in "abc"}) == 3 and fleet.number("a") == 7
+    registry = EndpointRegistry(())
+    assert len({registry.number(uid) for uid in "abc"}) == 3 and registry.number("a") == 7
 
 
-def test_a_model_is_told_by_its_place_among_the_kinds():
-    update = parse_endpoint_list(load_json(LIST.replace(b"m2", b"fast")))
-    assert [e.machine_type for e in EndpointRegistry((), ("plain", "fast")).apply(update)] == [1, 1]
-    assert [e.machine_type for e in EndpointRegistry(()).apply(update)] == [-1, -1]
+def test_machine_type_is_its_index_in_the_settings_or_minus_one():
+    update = parse_endpoint_list(load_json(VALID_LIST.replace(b"m2", b"fast")))
+    assert [endpoint.machine_type for endpoint in EndpointRegistry((), ("plain", "fast")).apply(update)] == [1, 1]
+    assert [endpoint.machine_type for endpoint in EndpointRegistry(()).apply(update)] == [-1, -1]
 
 
-def test_a_whole_list_forgets_who_is_not_in_it():
-    fleet = EndpointRegistry(("a", "b"))
-    fleet.apply(parse_endpoint_list(load_json(LIST)))
-    assert parse_endpoint_list(load_json(LIST)).endpoints[0].started_at == 1796122829.834  # the clock of the module
-    assert fleet.find("s-5be2a07c") is not None and fleet.find("s-2") is None
-    fleet.apply(parse_endpoint_list({"rev": 42, "all": True, "targets": []}))
-    assert fleet.find("s-5be2a07c") is None and not fleet.addresses
+def test_complete_list_removes_servers_that_it_does_not_contain():
+    registry = EndpointRegistry(("a", "b"))
+    registry.apply(parse_endpoint_list(load_json(VALID_LIST)))
+    # The start time is decoded to seconds, as in the core.
+    assert parse_endpoint_list(load_json(VALID_LIST)).endpoints[0].started_at == 1796122829.834
+    assert registry.find("s-5be2a07c") is not None and registry.find("s-2") is None
+    registry.apply(parse_endpoint_list({"rev": 42, "all": True, "targets": []}))
+    assert registry.find("s-5be2a07c") is None and not registry.addresses
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New configurations while the program runs, and where they come from."""
+"""Reload of the configuration while the program runs, and the sources that the configuration is read from."""
 
 import copy
 import json
@@ -18,140 +18,152 @@
 from aspensaddle.support.counters import Counters
 
 
-def settings(**more):
-    return {**copy.deepcopy(SETTINGS), **more}
+def settings(**changes):
+    return {**copy.deepcopy(SETTINGS), **changes}
 
 
-class World:
-    """Two discoveries that name the same runners, and the program at the first of them."""
+class Deployment:
+    """Two discovery services that list the same servers, and a program configured with the first of them."""
 
     def __init__(self, folder, **config):
-        self.runners = [Runner("s-0"), Runner("s-1")]
-        self.old, self.new = (Discovery([r.target() for r in self.runners]) for _ in range(2))
-        self.program = Program(folder, self.old.address, [r.target() for r in self.runners], **config)
-        until(lambda: self.old.watches or self.old.refuse, "the first watch")
+        self.servers = [Runner("s-0"), Runner("s-1")]
+        self.old_discovery, self.new_discovery = (
+            Discovery([server.target() for server in self.servers]) for _ in range(2)
+        )
+        self.program = Program(
+            folder, self.old_discovery.address, [server.target() for server in self.servers], **config
+        )
+        until(lambda: self.old_discovery.watches or self.old_discovery.refuse, "the first watch")
 
     @property
-    def there(self):
-        return "{}:{}".format(*self.new.address)
+    def new_address(self):
+        return "{}:{}".format(*self.new_discovery.address)
 
     def close(self):
         self.program.kill()
-        for s in (self.old, self.new, *self.runners):
-            s.close()
+        for stand_in in (self.old_discovery, self.new_discovery, *self.servers):
+            stand_in.close()
 
 
 @pytest.fixture
-def world(tmp_path):
-    made = []
+def deploy(tmp_path):
+    deployments = []
 
     def make(**config):
-        made.append(World(tmp_path, **config))
-        return made[-1]
+        deployments.append(Deployment(tmp_path, **config))
+        return deployments[-1]
 
     yield make
-    for w in made:
-        w.close()
-
-
-def test_discovery_moves_and_what_stands_stands(world):
-    w = world()
-    with Client(w.program.address) as standing:
-        assert standing.open().startswith(b"UP ")
-        assert w.program.reload(discovery=w.there)["changed"] == ["discovery"]
-        until(lambda: w.new.watches, "a watch at the new address")
-        assert standing.echo(b"M 1") == b"M 1\r\n"
-        w.new.change(w.runners[0].target(state="leaving"))
-        until(lambda: any(e["revision"] == 2 for e in w.program.events("endpoints_updated")), "news from there")
+    for deployment in deployments:
+        deployment.close()
+
+
+def test_change_of_the_discovery_address_keeps_established_connections(deploy):
+    deployment = deploy()
+    with Client(deployment.program.address) as established:
+        assert established.open().startswith(b"UP ")
+        assert deployment.program.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
+        until(lambda: deployment.new_discovery.watches, "a watch at the new address")
+        assert established.echo(b"M 1") == b"M 1\r\n"
+        deployment.new_discovery.change(deployment.servers[0].target(state="leaving"))
+        until(
+            lambda: any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated")),
+            "an update from the new address",
+        )
         for _ in range(4):
-            with Client(w.program.address) as c:
-                assert c.open() == b"UP s-1\r\n"
-        assert standing.echo(b"M 2") == b"M 2\r\n"
-    counts = w.program.counts()
-    assert counts["connections_established"] == 5 and counts["reloads_requested"] == 1  # counted on, not anew
+            with Client(deployment.program.address) as client:
+                assert client.open() == b"UP s-1\r\n"
+        assert established.echo(b"M 2") == b"M 2\r\n"
+    counts = deployment.program.counts()
+    # A reload does not reset the counters.
+    assert counts["connections_established"] == 5 and counts["reloads_requested"] == 1
 
 
-def test_a_bad_file_is_named_and_the_old_one_stays_in_force(world):
-    w = world()
-    good = dict(w.program.body)
+def test_invalid_file_is_rejected_with_its_field_and_the_old_configuration_stays_in_force(deploy):
+    deployment = deploy()
+    valid_config = dict(deployment.program.body)
     for change, field in (
         ({"discovery": "nowhere"}, "discovery"),
         ({"limits": {"sockets": 1}}, "limits.sockets"),
         ({"settings": settings(lanes=SETTINGS["lanes"][1:])}, "settings.lanes"),
         ({"settings": settings(limits={"connect-timeout": -1})}, "limits.connect-timeout"),
     ):
-        event = w.program.reload(**{**good, **change})
+        event = deployment.program.reload(**{**valid_config, **change})
         assert event["event"] == "reload_rejected" and field in event["error"]
-    (w.program.folder / "config.json").write_text("{")
-    w.program.process.send_signal(signal.SIGHUP)
-    until(lambda: any("not JSON" in e["error"] for e in w.program.events("reload_rejected")), "the fifth")
-    with Client(w.program.address) as c:
-        assert c.open().startswith(b"UP ")
-    assert w.old.watches == 1  # undisturbed
-    assert w.program.reload(**good)["changed"] == []
-    assert w.program.counts()["reloads_rejected"] == 5
-
-
-def test_it_moves_while_a_call_is_out_and_during_a_second_signal(world):
-    w = world()
-    w.old.mute = True  # the old one goes on holding its watch and says nothing
-    w.program.reload(discovery="127.0.0.1:9")  # nobody listens there
-    w.program.reload(discovery=w.there)
-    until(lambda: w.new.watches, "a watch at the last address")
-    # not only after a back-off, which the driver would have begun with a failure told to it
-    assert w.program.process.poll() is None
-
-
-def test_it_moves_while_it_ends(world):
-    w = world()
-    with Client(w.program.address) as c:
-        assert c.open().startswith(b"UP ")
-        ended = []
-        thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
+    (deployment.program.folder / "config.json").write_text("{")
+    deployment.program.process.send_signal(signal.SIGHUP)
+    until(
+        lambda: any("not JSON" in rejection["error"] for rejection in deployment.program.events("reload_rejected")),
+        "the fifth rejected reload",
+    )
+    with Client(deployment.program.address) as client:
+        assert client.open().startswith(b"UP ")
+    assert deployment.old_discovery.watches == 1  # the watch was not interrupted
+    assert deployment.program.reload(**valid_config)["changed"] == []
+    assert deployment.program.counts()["reloads_rejected"] == 5
+
+
+def test_discovery_address_changes_while_a_call_is_in_flight_and_a_second_reload_follows(deploy):
+    deployment = deploy()
+    deployment.old_discovery.mute = True  # the old service keeps its watch open without heartbeats
+    deployment.program.reload(discovery="127.0.0.1:9")  # no process listens at this address
+    deployment.program.reload(discovery=deployment.new_address)
+    until(lambda: deployment.new_discovery.watches, "a watch at the last address")
+    # The watch must not wait for a backoff, which a failure reported to the driver would have started.
+    assert deployment.program.process.poll() is None
+
+
+def test_discovery_address_changes_during_the_shutdown(deploy):
+    deployment = deploy()
+    with Client(deployment.program.address) as client:
+        assert client.open().startswith(b"UP ")
+        exit_statuses = []
+        thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
         thread.start()
-        until(lambda: w.program.events("shutdown_started"), "the end begun")
-        w.program.reload(discovery=w.there)
-        assert c.line() == b"MOVE\r\n"
+        until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+        deployment.program.reload(discovery=deployment.new_address)
+        assert client.line() == b"MOVE\r\n"
     thread.join(WAIT)
-    assert ended == [0]
+    assert exit_statuses == [0]
 
 
-def test_settings_and_limits_are_swapped_and_the_rest_is_named(world):
-    w = world()
-    lanes = [*copy.deepcopy(SETTINGS["lanes"]), {"name": "new", "aim": 0.3, "deadline": 3.0}]
-    with Client(w.program.address) as c:
-        assert c.open("c=new,d=3000") == b"ERR\r\n"
-    event = w.program.reload(
-        name="n9", seed="other", settings=settings(lanes=lanes, locality=1), limits={"sockets": 70}
+def test_settings_and_limits_are_replaced_and_fields_that_need_a_restart_are_named(deploy):
+    deployment = deploy()
+    request_classes = [*copy.deepcopy(SETTINGS["lanes"]), {"name": "new", "aim": 0.3, "deadline": 3.0}]
+    with Client(deployment.program.address) as client:
+        assert client.open("c=new,d=3000") == b"ERR\r\n"
+    event = deployment.program.reload(
+        name="n9", seed="other", settings=settings(lanes=request_classes, locality=1), limits={"sockets": 70}
     )
     assert sorted(event["changed"]) == ["limits", "settings"]
     assert event["needs_restart"] == ["name", "seed", "settings.zone"]
-    clients = [Client(w.program.address) for _ in range(40)]
-    answers = [c.open("c=new,d=3000")[:2] for c in clients]
-    assert {b"UP", b"BU"} == set(answers)  # the new class, under the new limit
-    for c in clients:
-        c.close()
+    clients = [Client(deployment.program.address) for _ in range(40)]
+    responses = [client.open("c=new,d=3000")[:2] for client in clients]
+    assert {b"UP", b"BU"} == set(responses)  # the new request class, and the new limit on sockets
+    for client in clients:
+        client.close()
 
 
-def test_variables_that_override_the_file_keep_winning(tmp_path):
-    def read(source, **body):
-        path.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:1", "settings": SETTINGS, **body}))
+def test_variables_that_override_the_file_at_startup_take_precedence_after_reloads(tmp_path):
+    def read(source, **fields):
+        path.write_text(json.dumps({"name": "n0", "listen": "127.0.0.1:1", "settings": SETTINGS, **fields}))
         return source.read()
 
-    path = tmp_path / "c.json"
-    repeats = ConfigSource({"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"})
-    assert read(repeats, discovery="127.0.0.1:2").discovery == ("127.0.0.1", 2)
-    assert read(repeats, discovery="127.0.0.1:3").discovery == ("127.0.0.1", 3)  # it never was an override
-    assert read(repeats, discovery="127.0.0.1:2").discovery == ("127.0.0.1", 2)
-    wins = ConfigSource({"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"})
+    path = tmp_path / "config.json"
+    repeating_source = ConfigSource({"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"})
+    assert read(repeating_source, discovery="127.0.0.1:2").discovery == ("127.0.0.1", 2)
+    # The variable repeated the file at the first read, so it overrides nothing.
+    assert read(repeating_source, discovery="127.0.0.1:3").discovery == ("127.0.0.1", 3)
+    assert read(repeating_source, discovery="127.0.0.1:2").discovery == ("127.0.0.1", 2)
+    overriding_source = ConfigSource({"LB_CONFIG": str(path), "LB_DISCOVERY": "127.0.0.1:2"})
     for port in (3, 4, 2, 5):
-        assert read(wins, discovery=f"127.0.0.1:{port}").discovery == ("127.0.0.1", 2)
+        assert read(overriding_source, discovery=f"127.0.0.1:{port}").discovery == ("127.0.0.1", 2)
     with pytest.raises(ConfigError, match="listen"):
-        read(wins, listen="nowhere")
+        read(overriding_source, listen="nowhere")
 
 
-class Listed:
-    """Where discovery's calls tell what came."""
+class RecordingDriver:
+    """Stands in for the driver and records the scope of each update."""
 
     def __init__(self):
         self.scopes, self.settings = [], None
@@ -160,75 +172,79 @@
         self.scopes.append(scope)
 
 
-def calls(address):
-    driver, log = Listed(), SimpleNamespace(event=lambda *_, **more: None)
+def create_watcher(address):
+    driver, log = RecordingDriver(), SimpleNamespace(event=lambda *_, **fields: None)
     return driver, EndpointWatcher(address, driver, SimpleNamespace(apply=lambda update: ()), Counters(), log)
 
 
-def test_a_new_address_that_refuses_at_first_is_asked_again_and_no_back_off_is_told():
+def test_new_address_that_rejects_at_first_is_called_again_and_reports_no_failure():
     async def main():
-        old, new = Discovery([]), Discovery([])
-        new.refuse = 3
-        driver, discovery = calls(old.address)
+        old_discovery, new_discovery = Discovery([]), Discovery([])
+        new_discovery.refuse = 3
+        driver, watcher = create_watcher(old_discovery.address)
         with trio.fail_after(WAIT):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(discovery.watch)
+                nursery.start_soon(watcher.watch)
                 while not driver.scopes:
                     await trio.sleep(0.01)
-                discovery.change_address(new.address)
-                while not new.watches:
+                watcher.change_address(new_discovery.address)
+                while not new_discovery.watches:
                     await trio.sleep(0.01)
-                assert old.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                assert old_discovery.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
                 nursery.cancel_scope.cancel()
-                new.close()
-                old.close()
+                new_discovery.close()
+                old_discovery.close()
 
     trio.run(main)
 
 
-def test_a_second_watch_does_not_end_the_first():
-    """The timer of a back-off that was on while discovery moved asks for one too."""
+def test_second_watch_does_not_end_the_first():
+    """The timer of a backoff that was running when the address changed requests a second watch."""
 
     async def main():
-        server = Discovery([])
-        driver, discovery = calls(server.address)
+        discovery = Discovery([])
+        driver, watcher = create_watcher(discovery.address)
         with trio.fail_after(WAIT):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(discovery.watch)
+                nursery.start_soon(watcher.watch)
                 while not driver.scopes:
                     await trio.sleep(0.01)
-                await discovery.watch()
-                assert server.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                await watcher.watch()
+                assert discovery.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
                 nursery.cancel_scope.cancel()
-                server.close()
+                discovery.close()
 
     trio.run(main)
 
 
-def test_a_signal_before_the_program_is_ready_is_kept_for_it(tmp_path):
-    """The receiver is in place before the first PONG, and what came earlier is received then."""
-    runner, discovery = Runner("s-0"), Discovery([])
-    program = Program(tmp_path, discovery.address, [runner.target()])
+def test_sighup_before_the_program_is_ready_is_delivered_once_it_is(tmp_path):
+    """The signal receiver is installed before the first PONG, and delivers a signal that was sent earlier."""
+    server, discovery = Runner("s-0"), Discovery([])
+    program = Program(tmp_path, discovery.address, [server.target()])
     try:
         for _ in range(3):
             program.kill()
             program.log.write_bytes(b"")
             starting = threading.Thread(target=program.start)
             starting.start()
-            until(lambda: program.process.poll() is None and blocked(program.process.pid), "the start")
+            until(
+                lambda: program.process.poll() is None and blocks_or_handles_sighup(program.process.pid), "the start"
+            )
             program.process.send_signal(signal.SIGHUP)
             starting.join(WAIT)
             until(lambda: program.events("config_reloaded"), "the reload")
             assert program.process.poll() is None
     finally:
         program.kill()
-        runner.close()
+        server.close()
         discovery.close()
 
 
-def blocked(pid):
-    """Whether the program holds SIGHUP back, or receives it already. Before its exec, the process shows the masks
-    of this one."""
+def blocks_or_handles_sighup(pid):
+    """Whether the program has blocked SIGHUP or handles it already.
+
+    Before its exec, the child process still has the signal masks of the test process.
+    """
     try:
         if not Path(f"/proc/{pid}/cmdline").read_bytes().endswith(b"-m\0aspensaddle\0"):
             return False
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import pytest
 import trio
-from helpers import SETTINGS as MODULE_SETTINGS
+from helpers import SETTINGS as CORE_SETTINGS
 from inside import Inside
 from standins import SETTINGS, WAIT, Client, Runner, until
 
@@ -22,109 +22,126 @@
 DEADLINES = [0.1, 0.3, 0.6, 1.2, 1.8, 3.0, 12.0]
 
 
-@pytest.mark.parametrize("late", [0.0, 0.05, 0.3, 2.0])
+@pytest.mark.parametrize("event_loop_lag", [0.0, 0.05, 0.3, 2.0])
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_the_phases_follow_from_the_deadlines_and_fit_before_the_kill(deadline, late):
-    classes = tuple(replace(MODULE_SETTINGS.classes[0], deadline=d) for d in (deadline, deadline / 2))
-    p = ShutdownPhases.from_settings(replace(MODULE_SETTINGS, classes=classes), late)
-    killed = min(MAX_DEADLINE_SECONDS, deadline) + KILL_MARGIN_SECONDS
-    assert 0 < p.migration_start < p.answer_deadline < p.drain_deadline < p.close_deadline < killed
-    assert killed - p.close_deadline >= min(late, killed / 4)
-    if late <= 0.05 and deadline <= MAX_DEADLINE_SECONDS:
-        assert p.answer_deadline >= deadline  # who was taken right before has its whole time
-        assert p.drain_deadline > NEW_CONNECTIONS_SECONDS  # nobody comes any more when the queue is emptied
-    if deadline >= 0.6 and late <= 0.05:
-        assert p.migration_start > NEW_CONNECTIONS_SECONDS
-
-
-def lanes(deadline):
-    return [{**lane, "deadline": deadline} for lane in SETTINGS["lanes"]]
-
-
-def taken(w, more="c=test-run,d=900"):
-    """A client whose request is out at a runner that is held, and that runner's side."""
-    c = w.client()
+def test_phases_are_in_order_and_end_before_the_process_is_killed(deadline, event_loop_lag):
+    classes = tuple(
+        replace(CORE_SETTINGS.classes[0], deadline=class_deadline) for class_deadline in (deadline, deadline / 2)
+    )
+    phases = ShutdownPhases.from_settings(replace(CORE_SETTINGS, classes=classes), event_loop_lag)
+    kill_time = min(MAX_DEADLINE_SECONDS, deadline) + KILL_MARGIN_SECONDS
+    assert (
+        0
+        < phases.migration_start
+        < phases.answer_deadline
+        < phases.drain_deadline
+        < phases.close_deadline
+        < kill_time
+    )
+    assert kill_time - phases.close_deadline >= min(event_loop_lag, kill_time / 4)
+    if event_loop_lag <= 0.05 and deadline <= MAX_DEADLINE_SECONDS:
+        # A request accepted right before SIGTERM has its whole time until the deadline.
+        assert phases.answer_deadline >= deadline
+        # No new connections arrive after the accept queue is drained.
+        assert phases.drain_deadline > NEW_CONNECTIONS_SECONDS
+    if deadline >= 0.6 and event_loop_lag <= 0.05:
+        assert phases.migration_start > NEW_CONNECTIONS_SECONDS
+
+
+def classes_with_deadline(deadline):
+    return [{**request_class, "deadline": deadline} for request_class in SETTINGS["lanes"]]
+
+
+def open_attempt(deployment, fields="c=test-run,d=900"):
+    """Return a client whose attempt waits at a held server, and the server's socket of the attempt."""
+    client = deployment.client()
     Client.count += 1
-    c.send(f"OPEN {Client.count:016x} 7f3a9c21e0b4d655 {more}\r\n".encode())
-    held = until(lambda: [r for r in w.runners if not r.offers.empty()], "the attempt")[0]
-    return c, held.offered()[0]
+    client.send(f"OPEN {Client.count:016x} 7f3a9c21e0b4d655 {fields}\r\n".encode())
+    held = until(lambda: [server for server in deployment.runners if not server.offers.empty()], "the attempt")[0]
+    return client, held.offered()[0]
 
 
 @pytest.mark.parametrize("deadline", [0.9, 3.0])
-def test_at_sigterm_every_place_of_a_request_s_life_ends_with_a_whole_answer(world, deadline):
-    w = world(settings={**SETTINGS, "lanes": lanes(deadline)})
-    for r in w.runners:
-        r.held = True
-    resting, half = w.client(), w.client()
-    half.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=te")
-    never, _ = taken(w)  # is answered by no runner
-    later, later_runner = taken(w)
-    halved, halved_runner = taken(w)
-    halved_runner.sendall(b"UP s")
-    idle, idle_runner = taken(w)
-    idle_runner.sendall(b"UP s-x\r\n")
-    cut, cut_runner = taken(w)
-    cut_runner.sendall(b"UP s-x\r\nM 1\r\nM 2")
-    out, out_runner = taken(w)
-    out_runner.sendall(b"UP s-x\r\n")
-    assert idle.line() == cut.line() == out.line() == b"UP s-x\r\n" and cut.line() == b"M 1\r\n"
-    out.send(b"M 7\r\n")
-    assert out_runner.recv(100) == b"M 7\r\n"
-    ended = []
-    thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
+def test_sigterm_in_any_stage_of_a_request_leads_to_a_complete_response(world, deadline):
+    deployment = world(settings={**SETTINGS, "lanes": classes_with_deadline(deadline)})
+    for server in deployment.runners:
+        server.held = True
+    idle, partial = deployment.client(), deployment.client()
+    partial.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=te")
+    unanswered, _ = open_attempt(deployment)  # no server responds to its attempt
+    answered_later, answered_later_server = open_attempt(deployment)
+    partly_answered, partly_answered_server = open_attempt(deployment)
+    partly_answered_server.sendall(b"UP s")
+    established, established_server = open_attempt(deployment)
+    established_server.sendall(b"UP s-x\r\n")
+    within_line, within_line_server = open_attempt(deployment)
+    within_line_server.sendall(b"UP s-x\r\nM 1\r\nM 2")
+    awaiting_line, awaiting_line_server = open_attempt(deployment)
+    awaiting_line_server.sendall(b"UP s-x\r\n")
+    assert (
+        established.line() == within_line.line() == awaiting_line.line() == b"UP s-x\r\n"
+        and within_line.line() == b"M 1\r\n"
+    )
+    awaiting_line.send(b"M 7\r\n")
+    assert awaiting_line_server.recv(100) == b"M 7\r\n"
+    exit_statuses = []
+    thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
     thread.start()
-    until(lambda: w.program.events("shutdown_started"), "the signal")
-    half.send(b"st-run,d=900\r\n")
-    later_runner.sendall(b"UP s-x\r\n")
-    halved_runner.sendall(b"-x\r\n")
-    new, silent = w.client(), w.client()
+    until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    partial.send(b"st-run,d=900\r\n")
+    answered_later_server.sendall(b"UP s-x\r\n")
+    partly_answered_server.sendall(b"-x\r\n")
+    new, new_idle = deployment.client(), deployment.client()
     assert new.open().startswith(b"BUSY")
-    for c in (resting, half, silent, never):
-        assert re.fullmatch(rb"BUSY( \d+)?\r\n", c.rest())
-    for c in (idle, cut, out):
-        assert c.rest() == b"MOVE\r\n"
-    for c in (later, halved):
-        assert c.rest() == b"UP s-x\r\nMOVE\r\n"
+    for client in (idle, partial, new_idle, unanswered):
+        assert re.fullmatch(rb"BUSY( \d+)?\r\n", client.rest())
+    for client in (established, within_line, awaiting_line):
+        assert client.rest() == b"MOVE\r\n"
+    for client in (answered_later, partly_answered):
+        assert client.rest() == b"UP s-x\r\nMOVE\r\n"
     thread.join(WAIT)
-    assert ended == [0] and "internal_errors" not in w.program.events("counters_reported")[0]["counts"]
+    assert (
+        exit_statuses == [0] and "internal_errors" not in deployment.program.events("counters_reported")[0]["counts"]
+    )
 
 
-def test_hundreds_who_stand_are_all_moved(world):
-    w = world(limits={"sockets": 1024})
-    standing = []
+def test_hundreds_of_established_connections_are_all_migrated(world):
+    deployment = world(limits={"sockets": 1024})
+    established = []
     for _ in range(200):
-        standing.append(w.client())
-        assert standing[-1].open("c=test-run,d=3000").startswith(b"UP ")
-    thread = threading.Thread(target=w.program.terminate)
+        established.append(deployment.client())
+        assert established[-1].open("c=test-run,d=3000").startswith(b"UP ")
+    thread = threading.Thread(target=deployment.program.terminate)
     thread.start()
-    for c in standing:
-        assert c.rest() == b"MOVE\r\n"
-        c.close()
+    for client in established:
+        assert client.rest() == b"MOVE\r\n"
+        client.close()
     thread.join(WAIT)
-    assert w.program.process.returncode == 0
+    assert deployment.program.process.returncode == 0
 
 
-@pytest.mark.parametrize("more", [b"OPEN 1 k c=test-run,d=900\r\n", b"OPEN 1 k c=te", b""])
-def test_what_the_kernel_accepted_and_nobody_has_read_is_answered(more):
-    """Nothing accepts here but the end itself: a listener closed over its queue resets all of them."""
-    runner = Runner("s-0")
+@pytest.mark.parametrize("data", [b"OPEN 1 k c=test-run,d=900\r\n", b"OPEN 1 k c=te", b""])
+def test_connections_in_the_accept_queue_get_a_response(data):
+    """Only the shutdown accepts connections here. Closing the listener first would reset all that are queued."""
+    server = Runner("s-0")
 
-    async def script(f):
-        peers = [await f.client() for _ in range(60)]
+    async def scenario(harness):
+        peers = [await harness.client() for _ in range(60)]
         for peer in peers:
-            if more:
-                await peer.send(more)
-        f.nursery.start_soon(f.end)
+            if data:
+                await peer.send(data)
+        harness.nursery.start_soon(harness.end)
         for peer in peers:
             assert re.fullmatch(rb"BUSY( \d+)?\r\n", await peer.rest()) and not peer.was_reset
             peer.stream.socket.close()
-        await f.gone()
+        await harness.gone()
 
-    Inside([runner]).run(script, accepting=False)
-    assert not runner.first_lines
+    Inside([server]).run(scenario, accepting=False)
+    assert not server.first_lines
 
 
-LAST = {
+# The request classes: their settings, and the response to a request whose attempt may have been executed.
+RESPONSES_BY_CLASS = {
     "safe": ({"repeat": "pure"}, b"BUSY"),
     "any": ({"repeat": "token", "group": "all"}, b"BUSY"),
     "zone": ({"repeat": "token", "group": "zone"}, b"ERR"),
@@ -132,111 +149,114 @@
 }
 
 
-def test_who_is_still_out_at_the_last_is_answered_by_what_may_have_run(world):
-    """Their deadlines are beyond the kill."""
-    w = world(
+def test_response_at_the_answer_deadline_depends_on_whether_a_retry_is_safe(world):
+    """The deadlines of the requests are later than the time at which the process is killed."""
+    deployment = world(
         settings={
             **SETTINGS,
             "lanes": [
-                {**SETTINGS["lanes"][0], "name": name, "deadline": 30.0, **repeat}
-                for name, (repeat, _) in LAST.items()
+                {**SETTINGS["lanes"][0], "name": name, "deadline": 30.0, **idempotency}
+                for name, (idempotency, _) in RESPONSES_BY_CLASS.items()
             ],
         }
     )
-    for r in w.runners:
-        r.held = True
-    out = {name: taken(w, f"c={name},d=30000")[0] for name in LAST}
-    assert w.program.terminate() == 0
-    for name, (_, answer) in LAST.items():
-        assert re.fullmatch(answer + rb"( \d+)?\r\n", out[name].rest()), name
-    whys = [e["reject_reason"] for e in w.program.events("request")]
-    assert whys.count("shutting_down") == sum(answer == b"BUSY" for _, answer in LAST.values()) > 0
-
-
-def test_a_drain_and_a_reload_told_meanwhile_do_not_hold_up_the_end(world):
-    w = world()
-    until(lambda: w.discovery.watches, "a watch")
-    c = w.client()
-    assert c.open().startswith(b"UP ")
-    w.program.process.send_signal(signal.SIGTERM)
-    until(lambda: w.program.events("shutdown_started"), "the signal")
-    w.drain(w.runners[0])
-    w.program.process.send_signal(signal.SIGHUP)
-    w.program.process.send_signal(signal.SIGTERM)
-    assert c.rest() == b"MOVE\r\n"
-    assert w.program.process.wait(WAIT) == 0 and len(w.program.events("shutdown_started")) == 1
-
-
-def test_a_request_read_after_its_connection_was_shut_is_not_sent_on(world):
-    """Some clients rest until the balancer ends them, and send in that very moment."""
-    w = world()
-    resting = [w.client() for _ in range(10)]
-    w.program.process.send_signal(signal.SIGTERM)
-    for n, c in enumerate(resting):
-        assert c.line().startswith(b"BUSY")
-        c.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=900\r\n" % n)
-        c.sock.shutdown(socket.SHUT_WR)
-        assert c.rest() == b""
-    assert w.program.process.wait(WAIT) == 0
-    assert not any(r.first_lines for r in w.runners)
-
-
-def test_a_client_that_never_ends_its_side_holds_the_end_up_for_no_longer_than_its_phase():
-    runner = Runner("s-0")
-
-    async def script(f):
-        peers = [await f.asks() for _ in range(5)]
+    for server in deployment.runners:
+        server.held = True
+    clients = {name: open_attempt(deployment, f"c={name},d=30000")[0] for name in RESPONSES_BY_CLASS}
+    assert deployment.program.terminate() == 0
+    for name, (_, response) in RESPONSES_BY_CLASS.items():
+        assert re.fullmatch(response + rb"( \d+)?\r\n", clients[name].rest()), name
+    reject_reasons = [event["reject_reason"] for event in deployment.program.events("request")]
+    assert (
+        reject_reasons.count("shutting_down")
+        == sum(response == b"BUSY" for _, response in RESPONSES_BY_CLASS.values())
+        > 0
+    )
+
+
+def test_drain_and_reload_during_the_shutdown_do_not_delay_it(world):
+    deployment = world()
+    until(lambda: deployment.discovery.watches, "a watch")
+    client = deployment.client()
+    assert client.open().startswith(b"UP ")
+    deployment.program.process.send_signal(signal.SIGTERM)
+    until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    deployment.drain(deployment.runners[0])
+    deployment.program.process.send_signal(signal.SIGHUP)
+    deployment.program.process.send_signal(signal.SIGTERM)
+    assert client.rest() == b"MOVE\r\n"
+    assert deployment.program.process.wait(WAIT) == 0 and len(deployment.program.events("shutdown_started")) == 1
+
+
+def test_request_read_after_its_connection_was_evicted_starts_no_attempt(world):
+    """Some clients are idle until the balancer evicts them, and send a request at that moment."""
+    deployment = world()
+    idle_clients = [deployment.client() for _ in range(10)]
+    deployment.program.process.send_signal(signal.SIGTERM)
+    for number, client in enumerate(idle_clients):
+        assert client.line().startswith(b"BUSY")
+        client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=900\r\n" % number)
+        client.sock.shutdown(socket.SHUT_WR)
+        assert client.rest() == b""
+    assert deployment.program.process.wait(WAIT) == 0
+    assert not any(server.first_lines for server in deployment.runners)
+
+
+def test_client_that_never_closes_delays_the_shutdown_only_until_the_close_deadline():
+    server = Runner("s-0")
+
+    async def scenario(harness):
+        peers = [await harness.asks() for _ in range(5)]
         for peer in peers:
             await peer.line()
-        await f.end()
-        assert not f.frontend.slots.open
+        await harness.end()
+        assert not harness.frontend.slots.open
         for peer in peers:
             assert (await peer.rest()).endswith(b"MOVE\r\n") and not peer.was_reset
             peer.stream.socket.close()
         await trio.sleep(0)
 
-    Inside([runner]).run(script)
+    Inside([server]).run(scenario)
 
 
-def test_a_request_in_hand_counts_until_its_answer_is_out_and_is_waited_for_at_the_end():
-    """A runner's answer that comes after the newcomers' phase still makes a connection, which is then moved."""
-    runner = Runner("s-0")
-    runner.held = True
+def test_request_in_flight_is_waited_for_until_its_response_is_sent():
+    """A server's response after the start of migration still establishes a connection, which is then migrated."""
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.asks()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
-        assert f.frontend.unfinished_connections == f.frontend.slots.active == 1
-        f.nursery.start_soon(f.end)
-        await f.until(lambda: f.frontend.migrating_all)
+    async def scenario(harness):
+        peer = await harness.asks()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
+        assert harness.frontend.unfinished_connections == harness.frontend.slots.active == 1
+        harness.nursery.start_soon(harness.end)
+        await harness.until(lambda: harness.frontend.migrating_all)
         connection.sendall(b"UP s-0\r\n")
         assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
-        assert (
-            f.frontend.unfinished_connections == 0 and f.driver.now() < f.driver._attempts_end_at
-        )  # at once, not with the last
+        # The connection is migrated at once, not only at the answer deadline.
+        assert harness.frontend.unfinished_connections == 0 and harness.driver.now() < harness.driver._attempts_end_at
         peer.stream.socket.close()
-        await f.gone()
+        await harness.gone()
 
-    Inside([runner]).run(script)
+    Inside([server]).run(scenario)
 
 
-def test_who_is_given_up_in_the_moment_of_its_up_is_told_as_that():
-    runner = Runner("s-0")
-    front = Inside([runner])
-    attempt = front.connector.attempt
+def test_request_rejected_as_its_attempt_is_established_is_reported_as_shutting_down():
+    server = Runner("s-0")
+    harness = Inside([server])
+    attempt = harness.connector.attempt
 
-    async def and_given_up(*args):
-        tried = await attempt(*args)
-        front.frontend.reject_pending_requests()
-        return tried
+    async def attempt_and_reject(*args):
+        result = await attempt(*args)
+        harness.frontend.reject_pending_requests()
+        return result
 
-    async def script(f):
-        f.connector.attempt = and_given_up
-        peer = await f.asks()
+    async def scenario(harness):
+        harness.connector.attempt = attempt_and_reject
+        peer = await harness.asks()
         assert (await peer.rest()).startswith(b"BUSY")
         peer.stream.socket.close()
-        await f.gone()
+        await harness.gone()
 
-    front.run(script)
-    assert [more["reject_reason"] for name, more in front.events if name == "request"] == ["shutting_down"]
-    assert front.counters["rejected_shutting_down"] == 1
+    harness.run(scenario)
+    assert [fields["reject_reason"] for name, fields in harness.events if name == "request"] == ["shutting_down"]
+    assert harness.counters["rejected_shutting_down"] == 1
