--- a/aspensaddle/daemon/config.py
+++ b/aspensaddle/daemon/config.py
@@ -50,8 +50,8 @@
         limits: What the platform allows the process.
         known: The endpoint list known at the start.
         settings: The settings of the core.
-        classes: The number of each request class by its name.
-        tenants: The number of each tenant by its name.
+        classes: The index of each request class, by name.
+        tenants: The index of each tenant, by name.
         zones: The names of the zones, in the order of their indexes.
     """
 
--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPhases:
-    """Times of the shutdown, in seconds after SIGTERM, from which on new requests are rejected.
+    """Times of the shutdown, in seconds after SIGTERM. New requests are rejected from SIGTERM on.
 
     Attributes:
         migration_start: When the migration of established connections begins.
--- a/aspensaddle/daemon/store_integration.py
+++ b/aspensaddle/daemon/store_integration.py
@@ -96,7 +96,7 @@
         if any(entry.key.startswith(ENDPOINT_KEY_PREFIX) for entry in entries):
             self._changed.set()
         if any(entry.key == SETTINGS_KEY for entry in entries):
-            self._log.event("stored_settings_changed", note="in force from the next start or reload")
+            self._log.event("stored_settings_changed", note="takes effect at the next start or reload")
 
     async def watch(self) -> None:
         """Pass the list on now and after each change; a second call replaces the first."""
--- a/aspensaddle/discovery/endpoint_update.py
+++ b/aspensaddle/discovery/endpoint_update.py
@@ -1,6 +1,6 @@
 """Endpoint lists as the platform sends them, decoded into typed values.
 
-The only module that names the wire fields of an endpoint list.
+No other module uses the wire names of an endpoint list's fields.
 """
 
 from __future__ import annotations
--- a/aspensaddle/discovery/watch_call.py
+++ b/aspensaddle/discovery/watch_call.py
@@ -40,7 +40,7 @@
         scope: Cancel scope of the call.
         started_at: Time at which the call began.
         connected: Whether its connection was established.
-        answered: Set with the first complete line, or when the call ends without one.
+        responded_or_ended: Set with the first complete line, or when the call ends without one.
         followed_since: Time of the first complete line; None before it.
         failure: Why the call failed; None while it is in flight, or if it ended without a failure.
     """
@@ -51,7 +51,7 @@
         self.scope = trio.CancelScope()
         self.started_at = trio.current_time()
         self.connected = False
-        self.answered = trio.Event()
+        self.responded_or_ended = trio.Event()
         self.followed_since: float | None = None
         self.failure: FailureReason | None = None
 
--- a/aspensaddle/discovery/watch_policy.py
+++ b/aspensaddle/discovery/watch_policy.py
@@ -16,7 +16,7 @@
 MAX_HEDGING_BALANCERS = 6  # at 0.25 s for a call, a service serves 6 within the hedge delay
 RESPONSE_TIMEOUT_SECONDS = 3.5  # the service may queue a call
 QUEUED_RESPONSE_SECONDS = 1.0  # longest time in the service's queue, unless the call hangs or the queue is too long
-START_JITTER_SECONDS = 2.0  # spread of the first calls, since all balancers call one service
+START_JITTER_SECONDS = 2.0  # spread of the first calls where all balancers call one service
 INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 2.0
 MAX_FLEET_RETRIES_PER_SECOND = 40.0  # of all balancers together, while the service rejects calls
@@ -70,7 +70,7 @@
 
 
 def may_hedge(balancer_count: int, *, is_local_agent: bool) -> bool:
-    """Return whether a call without a response can be taken for lost, since few others can be queued before it."""
+    """Return whether a call without a response counts as lost: too few others can be queued before it to delay it."""
     return not is_local_agent and balancer_count <= MAX_HEDGING_BALANCERS
 
 
@@ -80,7 +80,7 @@
     Args:
         failures: Failed calls in a row, this one included.
         random: Source of the jitter.
-        balancer_count: Balancers that share the service, and the limit on retries to it.
+        balancer_count: Balancers that share the service; its limit on retries is divided among them.
     """
     limit = max(MAX_BACKOFF_SECONDS, 2 * balancer_count / MAX_FLEET_RETRIES_PER_SECOND)
     doublings = min(max(0, failures - 1), _MAX_BACKOFF_DOUBLINGS)
@@ -90,7 +90,7 @@
 def reconnect_delay(random: Random, *, timed_out: bool) -> float:
     """Return the delay after a watch that was followed and ended.
 
-    The watches of all balancers are closed together, so reconnecting needs jitter. Silence is detected at a different
-    time by each balancer, so it needs none.
+    Watches that the service closes are closed together, so reconnecting needs jitter. Silence is detected at a
+    different time by each balancer, so it needs none.
     """
     return 0.0 if timed_out else random.uniform(0.0, INITIAL_BACKOFF_SECONDS)
--- a/aspensaddle/discovery/watcher.py
+++ b/aspensaddle/discovery/watcher.py
@@ -49,8 +49,8 @@
     Attributes:
         state: Phase of the watch cycle.
         revision: The version of the list that was applied last, from which the next watch continues.
-        is_local_agent: Whether the service is an agent of this balancer alone, which responds at once and is not
-            loaded by other balancers.
+        is_local_agent: Whether the service is an agent of this balancer alone, which responds at once and
+            whose calls cost nothing.
         balancer_count: Balancers that share the service, this one included.
     """
 
@@ -154,8 +154,8 @@
             nursery.start_soon(self._run_call, calls[0])
             if may_hedge and watch_policy.may_hedge(self.balancer_count, is_local_agent=self.is_local_agent):
                 with trio.move_on_after(watch_policy.HEDGE_DELAY_SECONDS):
-                    await calls[0].answered.wait()
-                if not calls[0].answered.is_set():
+                    await calls[0].responded_or_ended.wait()
+                if not calls[0].responded_or_ended.is_set():
                     self._counters.add("discovery_calls_hedged")
                     calls.append(self._new_call())
                     nursery.start_soon(self._run_call, calls[1])
@@ -180,12 +180,12 @@
             self._record_failure(call, error)
         finally:
             self._calls.remove(call)
-            call.answered.set()
+            call.responded_or_ended.set()
 
     def _record_failure(self, call: WatchCall, error: Exception) -> None:
         call.failure = _failure_reason(error)
         if call.failure is FailureReason.UNREACHABLE:
-            self._confirm()  # changes count as known only while the service is reachable
+            self._confirm()  # no change counts as known while the service is unreachable
         self._counters.add("discovery_calls_failed")
         self._counters.add(f"discovery_calls_failed_{call.failure.value}")
         self._log.event(
@@ -215,7 +215,7 @@
         """Follow a call from its first complete line on, and cancel the other one."""
         self.state = WatchState.FOLLOWING
         call.followed_since = trio.current_time()
-        call.answered.set()
+        call.responded_or_ended.set()
         for other in self._calls:
             if other is not call:
                 other.scope.cancel()
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -117,7 +117,10 @@
 
 
 def run_watcher(server, scenario, revision=0, faults=0, is_local_agent=False, **timeouts):
-    """Run a watcher against a server, with shortened timeouts, until the scenario has ended."""
+    """Run a watcher against a server, with shortened timeouts, until the scenario has ended.
+
+    The scenario gets the watcher, the driver, the logged events and the server, as attributes of its argument.
+    """
     driver, events = RecordingDriver(), []
     driver.faults = faults
     log = SimpleNamespace(event=lambda name, **fields: events.append((name, fields)))
@@ -557,10 +560,10 @@
 @pytest.mark.parametrize("pushed", [False, True])
 def test_reload_while_discovery_rejects_and_sigterm_while_it_hangs_are_handled_in_time(tmp_path, pushed):
     """The process must exit in time although the discovery call hangs."""
-    runner = Runner("s-0")
+    server = Runner("s-0")
     old_server, new_server = ScriptedDiscovery(reject_call), ScriptedDiscovery(hang)
     settings = {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
-    program = Program(tmp_path, old_server.address, [runner.target()], settings=settings)
+    program = Program(tmp_path, old_server.address, [server.target()], settings=settings)
     try:
         until(lambda: len(old_server.calls) > 2, "calls")
         program.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
@@ -570,5 +573,5 @@
         assert "internal_errors" not in program.events("counters_reported")[0]["counts"]
     finally:
         program.kill()
-        for server in (old_server, new_server, runner):
-            server.close()
+        for stand_in in (old_server, new_server, server):
+            stand_in.close()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -68,10 +68,10 @@
         server.held = True
     idle, partial = deployment.client(), deployment.client()
     partial.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=te")
-    unanswered, _ = open_attempt(deployment)  # no server responds to its attempt
-    answered_later, answered_later_server = open_attempt(deployment)
-    partly_answered, partly_answered_server = open_attempt(deployment)
-    partly_answered_server.sendall(b"UP s")
+    without_response, _ = open_attempt(deployment)  # no server responds to its attempt
+    responded_later, responded_later_server = open_attempt(deployment)
+    partly_responded, partly_responded_server = open_attempt(deployment)
+    partly_responded_server.sendall(b"UP s")
     established, established_server = open_attempt(deployment)
     established_server.sendall(b"UP s-x\r\n")
     within_line, within_line_server = open_attempt(deployment)
@@ -89,15 +89,15 @@
     thread.start()
     until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
     partial.send(b"st-run,d=900\r\n")
-    answered_later_server.sendall(b"UP s-x\r\n")
-    partly_answered_server.sendall(b"-x\r\n")
+    responded_later_server.sendall(b"UP s-x\r\n")
+    partly_responded_server.sendall(b"-x\r\n")
     new, new_idle = deployment.client(), deployment.client()
     assert new.open().startswith(b"BUSY")
-    for client in (idle, partial, new_idle, unanswered):
+    for client in (idle, partial, new_idle, without_response):
         assert re.fullmatch(rb"BUSY( \d+)?\r\n", client.rest())
     for client in (established, within_line, awaiting_line):
         assert client.rest() == b"MOVE\r\n"
-    for client in (answered_later, partly_answered):
+    for client in (responded_later, partly_responded):
         assert client.rest() == b"UP s-x\r\nMOVE\r\n"
     thread.join(WAIT)
     assert (
