--- a/aspensaddle/core/settings_parser.py
+++ b/aspensaddle/core/settings_parser.py
@@ -21,12 +21,12 @@
     Message,
     array,
     as_object,
+    choice,
     flag,
     integer,
     number,
     obj,
     raw,
-    word,
 )
 
 IDEMPOTENCY_BY_NAME = {
@@ -123,8 +123,8 @@
         latency_objective=objective,
         deadline=number(class_fields, "deadline"),
         priority_weight=number(class_fields, "worth", 1.0),
-        idempotency=word(class_fields, "repeat", IDEMPOTENCY_BY_NAME, Idempotency.IDEMPOTENT),
-        deduplication_scope=word(class_fields, "group", DEDUPLICATION_SCOPE_BY_NAME, DeduplicationScope.ALL),
+        idempotency=choice(class_fields, "repeat", IDEMPOTENCY_BY_NAME, Idempotency.IDEMPOTENT),
+        deduplication_scope=choice(class_fields, "group", DEDUPLICATION_SCOPE_BY_NAME, DeduplicationScope.ALL),
         deduplication_window=number(class_fields, "window", 5.0),
         message_latency_objective=message_objective,
     )
