--- a/aspensaddle/__main__.py
+++ b/aspensaddle/__main__.py
@@ -21,7 +21,7 @@
 from aspensaddle.daemon.config import Config, ConfigSource
 from aspensaddle.daemon.process import serve
 from aspensaddle.frontends.quic.settings import QuicSettings, load_quic
-from aspensaddle.store.settings import StoreSettings, load_store
+from aspensaddle.store.settings import StoreSettings, load_store_settings
 from aspensaddle.support.config_errors import ConfigError
 from aspensaddle.support.log import Log
 
@@ -46,7 +46,7 @@
 def _load(source: ConfigSource) -> tuple[Config, QuicSettings | None, StoreSettings | None]:
     config = source.read()
     quic = load_quic(_quic_file(), config.classes)
-    store = load_store(_store_file())
+    store = load_store_settings(_store_file())
     if store is not None and config.name not in store.nodes:
         raise ConfigError(f"{DEFAULT_STORE_FILE}: nodes must name this daemon, {config.name}")
     return config, quic, store
--- a/aspensaddle/daemon/service.py
+++ b/aspensaddle/daemon/service.py
@@ -71,7 +71,7 @@
 
     def _create_endpoint_source(self, replica: Replica | None) -> EndpointWatcher | StoredEndpointSource | None:
         config = self._config
-        if replica is not None and replica.settings.runners:
+        if replica is not None and replica.settings.endpoints_from_store:
             from aspensaddle.daemon.store_integration import StoredEndpointSource
 
             return StoredEndpointSource(replica, self._driver, self._registry, self._counters, self._log)
--- a/aspensaddle/daemon/store_integration.py
+++ b/aspensaddle/daemon/store_integration.py
@@ -61,7 +61,7 @@
 async def wait_for_stored_settings(replica: Replica, config: Config, log: Log) -> Config:
     """Return the configuration with the stored settings, after a wait for a peer to tell them."""
     with trio.move_on_after(INITIAL_SYNC_SECONDS):
-        while not replica.agreed and replica.state.get(SETTINGS_KEY) is None:
+        while not replica.synchronized_peers and replica.state.get(SETTINGS_KEY) is None:
             await trio.sleep(POLL_SECONDS)
     return with_stored_settings(replica, config, log)
 
@@ -90,7 +90,7 @@
         self._log = log
         self._watch_scope = trio.CancelScope()
         self._changed = trio.Event()
-        replica.changed = self._handle_changes
+        replica.on_change = self._handle_changes
 
     def _handle_changes(self, entries: list[Entry]) -> None:
         if any(entry.key.startswith(ENDPOINT_KEY_PREFIX) for entry in entries):
--- a/aspensaddle/store/__init__.py
+++ b/aspensaddle/store/__init__.py
@@ -1,1 +1,1 @@
-"""A small replicated store for the configuration and state of one operator's daemons (`docs/store.md`)."""
+"""A small replicated key-value store that the daemons of one operator share (`docs/store.md`)."""
--- a/aspensaddle/store/messages.py
+++ b/aspensaddle/store/messages.py
@@ -1,6 +1,6 @@
 """Messages between replicas: datagrams of JSON behind an HMAC-SHA256 tag under the shared key.
 
-The only module that names the wire fields of the store.
+No other module knows the field names of the store's wire format.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 MAX_DATAGRAM_BYTES = 8192
 TAG_BYTES = 32
-ENVELOPE_BYTES = 200  # at most, of a datagram beside its entries
+MAX_ENVELOPE_BYTES = 200  # upper bound of a datagram's size without its entries
 MAX_CLOCK_DIFFERENCE_MS = 60_000  # between the clocks of two nodes; bounds how long a datagram can be replayed
 
 
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class EntryRequest:
-    """Asks for the entries of some keys."""
+    """A request for the entries of the given keys."""
 
     keys: list[str]
 
 
 @dataclass(slots=True)
 class EntryBatch:
-    """Entries that the sender wrote, was asked for, or that the receiver seems to lack."""
+    """Entries that the sender wrote or was asked for, or that differ from the receiver's version summary."""
 
     entries: list[Entry] = field(default_factory=list)
 
@@ -57,8 +57,8 @@
     """A message from a holder of the shared key.
 
     Attributes:
-        node: The sender's name.
-        body: What it says.
+        node: The sender's node name.
+        body: The content of the message.
     """
 
     node: str
@@ -70,9 +70,9 @@
 
     Args:
         key: The shared key.
-        node: The sender's name.
+        node: The sender's node name.
         now_ms: The sender's Unix time in milliseconds.
-        body: What it says.
+        body: The content of the message.
     """
     data = orjson.dumps({"node": node, "at": now_ms, **_body_fields(body)})
     return hmac.digest(key, data, "sha256") + data
@@ -87,7 +87,7 @@
         case EntryRequest():
             return {"kind": "wants", "keys": body.keys}
         case EntryBatch():
-            return {"kind": "entries", "entries": [_entry_row(entry) for entry in body.entries]}
+            return {"kind": "entries", "entries": [_encode_entry(entry) for entry in body.entries]}
 
 
 def decode_datagram(key: bytes, now_ms: int, datagram: bytes) -> AuthenticatedMessage:
@@ -96,23 +96,23 @@
     Args:
         key: The shared key.
         now_ms: The receiver's Unix time in milliseconds.
-        datagram: What was received.
+        datagram: The received bytes.
 
     Raises:
-        DecodeError: If a holder of the key did not send it recently, or it is malformed.
+        DecodeError: If its tag does not match the key, it was not sent recently, or it is malformed.
     """
     data = datagram[TAG_BYTES:]
     if not hmac.compare_digest(hmac.digest(key, data, "sha256"), datagram[:TAG_BYTES]):
-        raise DecodeError("the tag does not fit")
+        raise DecodeError("datagram tag does not match the shared key")
     try:
-        message = as_object(orjson.loads(data), "a datagram")
+        message = as_object(orjson.loads(data), "datagram")
     except orjson.JSONDecodeError:
-        raise DecodeError("not JSON") from None
+        raise DecodeError("datagram is not JSON") from None
     node = text(message, "node")
     if not NODE_PATTERN.fullmatch(node):
-        raise DecodeError("node is not a name")
+        raise DecodeError(f"node {node!r:.40} is not a valid node name")
     if abs(integer(message, "at") - now_ms) > MAX_CLOCK_DIFFERENCE_MS:
-        raise DecodeError("at is not now")
+        raise DecodeError(f"at must be within {MAX_CLOCK_DIFFERENCE_MS} ms of the receiver's clock")
     return AuthenticatedMessage(node, _decode_body(message))
 
 
@@ -126,13 +126,13 @@
         return EntryRequest([_string(key, "keys") for key in array(message, "keys")])
     if kind == "entries":
         return EntryBatch([_decode_entry(row) for row in array(message, "entries")])
-    raise DecodeError(f"kind {kind!r:.40} is not known")
+    raise DecodeError(f"kind must be sums, marks, wants or entries, not {kind!r:.40}")
 
 
 def _decode_bucket_digests(message: Message) -> BucketDigests:
     digests = [_string(digest, "sums") for digest in array(message, "sums")]
     if len(digests) != BUCKET_COUNT:
-        raise DecodeError("sums must be one a bucket")
+        raise DecodeError(f"sums must hold one digest for each bucket, {BUCKET_COUNT} in all, not {len(digests)}")
     return BucketDigests(digests)
 
 
@@ -140,7 +140,7 @@
     bucket = integer(message, "bucket")
     versions = obj(message, "marks")
     if not 0 <= bucket < BUCKET_COUNT:
-        raise DecodeError("bucket is none")
+        raise DecodeError(f"bucket must be 0 to {BUCKET_COUNT - 1}, not {bucket}")
     return VersionSummary(
         bucket,
         {key: _string(digest, "marks") for key, digest in versions.items() if KEY_PATTERN.fullmatch(key)},
@@ -149,14 +149,14 @@
 
 def _decode_entry(value: object) -> Entry:
     if type(value) is not list or len(value) != 4:
-        raise DecodeError("an entry must be [key, version, node, value]")
+        raise DecodeError("entries must hold arrays of [key, version, node, value]")
     key, version, node, content = value
     if type(version) is not int or (content is not None and type(content) is not str):
-        raise DecodeError("an entry must be [key, version, node, value]")
+        raise DecodeError("entries must hold arrays of [key, version, node, value]")
     return Entry(_string(key, "key"), version, _string(node, "node"), content)
 
 
-def _entry_row(entry: Entry) -> list[str | int | None]:
+def _encode_entry(entry: Entry) -> list[str | int | None]:
     return [entry.key, entry.version, entry.node, entry.value]
 
 
@@ -167,14 +167,14 @@
 
 
 def split_into_batches(entries: Iterable[Entry]) -> Iterator[EntryBatch]:
-    """Yield the entries in as few batches as fit into a datagram each."""
-    batch, room = EntryBatch(), MAX_DATAGRAM_BYTES - ENVELOPE_BYTES
+    """Yield the entries, in order, in as few batches as possible that each fit into a datagram."""
+    batch, free_bytes = EntryBatch(), MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES
     for entry in entries:
-        size = len(orjson.dumps(_entry_row(entry))) + 1
-        if size > room and batch.entries:
+        size = len(orjson.dumps(_encode_entry(entry))) + 1  # and the comma after it
+        if size > free_bytes and batch.entries:
             yield batch
-            batch, room = EntryBatch(), MAX_DATAGRAM_BYTES - ENVELOPE_BYTES
+            batch, free_bytes = EntryBatch(), MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES
         batch.entries.append(entry)
-        room -= size
+        free_bytes -= size
     if batch.entries:
         yield batch
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -1,4 +1,4 @@
-"""One replica on a UDP socket: sends what is written here and compares itself with peers (anti-entropy)."""
+"""One replica on a UDP socket: sends local writes to its peers and compares entries with them (anti-entropy)."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.json_fields import DecodeError
 
-MAX_BUCKETS_PER_ROUND = 32  # compared after one exchange of digests; the next round takes more
-MAX_DATAGRAMS_PER_READ = 64
-GOSSIP_JITTER = 0.5, 1.5  # parts of the gossip interval; keeps daemons that start together out of step
+MAX_BUCKETS_PER_ROUND = 32  # buckets compared after one exchange of digests; later rounds compare the others
+MAX_DATAGRAMS_PER_READ = 64  # read before other tasks run
+GOSSIP_JITTER_RANGE = 0.5, 1.5  # factors of the gossip interval; daemons started together do not gossip in step
 
 
 def unix_ms() -> int:
@@ -41,8 +41,8 @@
 
     Attributes:
         state: The entries.
-        agreed: The peers whose digests equalled this replica's when last heard.
-        changed: Called with the entries that were written here or taken over from a peer.
+        synchronized_peers: The names of the peers whose last digests equalled this replica's.
+        on_change: Called with the entries that were written here or merged from a peer.
     """
 
     def __init__(
@@ -50,18 +50,18 @@
         node: str,
         settings: StoreSettings,
         counters: Counters,
-        changed: Callable[[list[Entry]], None] = lambda entries: None,
+        on_change: Callable[[list[Entry]], None] = lambda entries: None,
     ) -> None:
         self.node = node
         self.settings = settings
         self.counters = counters
-        self.changed = changed
+        self.on_change = on_change
         self.state = ReplicaState(node, unix_ms)
-        self.agreed: set[str] = set()
+        self.synchronized_peers: set[str] = set()
         self._random = Random()
 
     def bind(self, address: Address | None = None) -> None:
-        """Open the socket, at the address that the settings name for this node if none is given.
+        """Open the socket and bind it, by default to this node's address in the settings.
 
         Raises:
             OSError: If the address can't be bound.
@@ -72,14 +72,16 @@
         self._socket.bind((host, port))
 
     def put(self, key: str, value: str | None) -> None:
-        """Write a key here and send it to all peers; those it does not reach learn it by comparison.
+        """Write a value, or remove the key for None, and send the entry to all peers.
+
+        A peer that the datagram does not reach gets the entry in a later comparison.
 
         Raises:
             StoreError: If the entry can't be stored.
         """
         entry = self.state.put(key, value)
-        self.agreed.clear()
-        self.changed([entry])
+        self.synchronized_peers.clear()
+        self.on_change([entry])
         for peer in self._peers():
             self._send(EntryBatch([entry]), peer)
 
@@ -96,11 +98,11 @@
                 await trio.lowlevel.checkpoint()
 
     async def _compare_periodically(self) -> None:
-        """Send the digests to all peers at the start, then to one at random at a time."""
+        """Send the digests to all peers at the start, then to one random peer per gossip interval."""
         for peer in self._peers():
             self._send_digests(peer)
         while True:
-            await trio.sleep(self.settings.gossip_s * self._random.uniform(*GOSSIP_JITTER))
+            await trio.sleep(self.settings.gossip_s * self._random.uniform(*GOSSIP_JITTER_RANGE))
             if peers := self._peers():
                 self._send_digests(self._random.choice(peers))
 
@@ -110,7 +112,7 @@
                 data, peer = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # an ICMP error: that peer is down
+            except OSError:  # an ICMP error after an earlier send: that peer is unreachable
                 continue
             self._handle_datagram(data, peer[:2])
 
@@ -135,20 +137,20 @@
             case VersionSummary():
                 self._handle_version_summary(body, peer)
             case EntryRequest():
-                known = [self.state.entries[key] for key in body.keys if key in self.state.entries]
-                self._send_entries(known, peer)
+                requested = [self.state.entries[key] for key in body.keys if key in self.state.entries]
+                self._send_entries(requested, peer)
             case EntryBatch():
                 self._handle_entries(body)
 
     def _handle_digests(self, node: str, body: BucketDigests, peer: Address) -> None:
-        differing = self.state.differing_buckets(body.digests)
-        if differing:
-            self.agreed.discard(node)
-        elif node not in self.agreed:
-            self.agreed.add(node)
-            self._send_digests(peer)  # the peer learns of the agreement too
-        self._random.shuffle(differing)
-        for bucket in differing[:MAX_BUCKETS_PER_ROUND]:
+        mismatched = self.state.differing_buckets(body.digests)
+        if mismatched:
+            self.synchronized_peers.discard(node)
+        elif node not in self.synchronized_peers:
+            self.synchronized_peers.add(node)
+            self._send_digests(peer)  # so that the peer notices that it is synchronized too
+        self._random.shuffle(mismatched)
+        for bucket in mismatched[:MAX_BUCKETS_PER_ROUND]:
             self._send(VersionSummary(bucket, self.state.version_summary(bucket)), peer)
 
     def _handle_version_summary(self, body: VersionSummary, peer: Address) -> None:
@@ -159,9 +161,9 @@
 
     def _handle_entries(self, body: EntryBatch) -> None:
         if merged := self.state.merge(body.entries):
-            self.agreed.clear()
+            self.synchronized_peers.clear()
             self.counters.add("store_entries_merged", len(merged))
-            self.changed(merged)
+            self.on_change(merged)
 
     def _send_digests(self, peer: Address) -> None:
         self._send(BucketDigests(self.state.bucket_digests()), peer)
@@ -172,7 +174,7 @@
 
     def _send(self, body: Body, peer: Address) -> None:
         data = encode_datagram(self.settings.key, self.node, unix_ms(), body)
-        if len(data) > MAX_DATAGRAM_BYTES:  # every body is bounded below this
+        if len(data) > MAX_DATAGRAM_BYTES:  # not expected, since the size of every body is limited
             self.counters.add("store_datagrams_too_large")
             return
         try:
--- a/aspensaddle/store/settings.py
+++ b/aspensaddle/store/settings.py
@@ -1,4 +1,7 @@
-"""The operator's file of the store, `deploy/store.toml`. The store is off without it or with `enabled = false`."""
+"""Settings of the store, from the operator's file (`deploy/store.toml`).
+
+The store is off without the file or with `enabled = false`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,8 @@
 
 SETTING_NAMES = {"enabled", "key", "nodes", "gossip_s", "runners"}
 MIN_KEY_BYTES = 16
-MIN_GOSSIP_INTERVAL_SECONDS, MAX_GOSSIP_INTERVAL_SECONDS = 0.05, 3600
+MIN_GOSSIP_INTERVAL_SECONDS = 0.05
+MAX_GOSSIP_INTERVAL_SECONDS = 3600
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,31 +25,31 @@
 
     Attributes:
         key: The key that all daemons share.
-        nodes: The address of each daemon by name, this one included.
+        nodes: The address of each daemon by node name, this one included.
         gossip_s: Mean seconds between two comparisons with a peer.
-        runners: Whether the endpoint list comes from the store instead of discovery.
+        endpoints_from_store: Whether the endpoint list comes from the store instead of discovery.
     """
 
     key: bytes
     nodes: dict[str, Address]
     gossip_s: float = 1.0
-    runners: bool = False
+    endpoints_from_store: bool = False
 
 
-def load_store(path: Path) -> StoreSettings | None:
-    """Read the file; None if there is none or it turns the store off.
+def load_store_settings(path: Path) -> StoreSettings | None:
+    """Read the settings file; return None if it does not exist or turns the store off.
 
     Raises:
-        ConfigError: If it can't be read or used.
+        ConfigError: If the file can't be read or a setting is not valid.
     """
-    return load_toml(path, parse_store)
+    return load_toml(path, parse_store_settings)
 
 
-def parse_store(message: Message) -> StoreSettings | None:
-    """Decode the settings; None if they turn the store off.
+def parse_store_settings(message: Message) -> StoreSettings | None:
+    """Decode the settings; return None if they turn the store off.
 
     Raises:
-        DecodeError: If a setting is missing, wrong or unknown.
+        DecodeError: If a setting is missing, invalid or unknown.
     """
     if not flag(message, "enabled"):
         return None
@@ -55,7 +59,7 @@
         key=_parse_key(message),
         nodes=_parse_nodes(message),
         gossip_s=_parse_gossip_interval(message),
-        runners=flag(message, "runners"),
+        endpoints_from_store=flag(message, "runners"),
     )
 
 
@@ -65,7 +69,7 @@
     except ValueError:
         raise DecodeError("key must be hex digits") from None
     if len(key) < MIN_KEY_BYTES:
-        raise DecodeError(f"key must be {MIN_KEY_BYTES} octets at least, in hex digits")
+        raise DecodeError(f"key must be at least {MIN_KEY_BYTES} bytes in hex digits, not {len(key)}")
     return key
 
 
@@ -73,7 +77,7 @@
     table, nodes = obj(message, "nodes"), {}
     for name in table:
         if not NODE_PATTERN.fullmatch(name):
-            raise DecodeError(f"nodes: {name!r:.60} is not a name")
+            raise DecodeError(f"nodes: {name!r:.60} is not a valid node name")
         nodes[name] = parse_address(text(table, name), f"nodes.{name}")
     return nodes
 
--- a/aspensaddle/store/state.py
+++ b/aspensaddle/store/state.py
@@ -1,7 +1,7 @@
-"""The entries of one replica: versioned keys, last writer wins by (version, node). Free of I/O.
+"""The entries of one replica: versioned keys, merged as last writer wins by (version, node). Does no I/O.
 
-Versions are milliseconds of Unix time, or one more than the newest seen where that is later. A node that starts
-again without data therefore writes versions above its former ones.
+A new version is the Unix time in milliseconds, or one more than the newest version seen if that is larger. A node
+that restarts without data therefore writes larger versions than before.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 import orjson
 
-MAX_KEYS = 4096  # room for 1,024 servers, as many balancers and removed keys, which count too
-MAX_VALUE_BYTES = 4096  # as JSON
-MAX_VERSION_LEAD_MS = 300_000  # before this clock; a version far in the future would win for ever
-BUCKET_COUNT = 256  # one octet of a hash; 16 keys each if all are taken
-MAX_KEYS_IN_BUCKET = 50  # the version summary of a bucket fits into a datagram
+MAX_KEYS = 4096  # 1,024 servers, as many balancers, and removed keys, which count as well
+MAX_VALUE_BYTES = 4096  # encoded as JSON
+MAX_VERSION_LEAD_MS = 300_000  # ahead of the local clock; a version far in the future would override all later writes
+BUCKET_COUNT = 256  # the values of one byte of a hash; 16 keys per bucket on average if the store is full
+MAX_KEYS_IN_BUCKET = 50  # small enough for the bucket's version summary to fit into a datagram
 DIGEST_BYTES = 8
 
 KEY_PATTERN = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_./:-]{0,127}")
@@ -25,11 +25,11 @@
 
 
 class StoreError(Exception):
-    """An entry that can't be stored.
+    """An entry or a node name that is not valid, or an entry for which there is no room.
 
     Attributes:
-        field: The field of the entry that is wrong.
-        reason: What is wrong with it.
+        field: The field of the entry that is not valid.
+        reason: Why it is not valid.
     """
 
     def __init__(self, field: str, reason: str) -> None:
@@ -44,7 +44,7 @@
 
     Attributes:
         key: The key.
-        version: Milliseconds of Unix time, or later than a version seen before.
+        version: Unix time in milliseconds, or one more than the newest version that the node had seen.
         node: The name of the node that wrote it.
         value: The value; None if the key was removed.
     """
@@ -56,7 +56,7 @@
 
     @property
     def order(self) -> tuple[int, str, bool, str]:
-        """Sort key: the later entry is larger. The value decides if a node wrote a version twice."""
+        """Sort key: the larger one wins. The value decides between entries of the same version and node."""
         return (self.version, self.node, self.value is not None, self.value or "")
 
     @property
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketDifference:
-    """How a bucket differs from a peer's.
+    """The differences between a bucket and a peer's.
 
     Attributes:
         to_send: Entries that the peer lacks or has another version of.
@@ -88,7 +88,7 @@
     """The entries of one replica, in buckets for the comparison with peers.
 
     Attributes:
-        entries: The newest entry of each key, also of removed ones.
+        entries: The newest entry of each key, removed keys included.
     """
 
     def __init__(self, node: str, clock_ms: Callable[[], int]) -> None:
@@ -99,7 +99,7 @@
             clock_ms: Returns Unix time in milliseconds.
 
         Raises:
-            StoreError: If the name is not valid.
+            StoreError: If the node name is not valid.
         """
         _check_node(node)
         self.node = node
@@ -133,28 +133,28 @@
         return entry
 
     def merge(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Take over entries of other nodes that are later, and return these. Invalid ones are ignored."""
+        """Store the entries of other nodes that are newer than those here, and return these; ignore invalid ones."""
         merged = []
         for entry in entries:
             try:
                 self._check(entry)
             except StoreError:
                 continue
-            known = self.entries.get(entry.key)
-            if known is None or entry.order > known.order:
+            current = self.entries.get(entry.key)
+            if current is None or entry.order > current.order:
                 self._set(entry)
                 merged.append(entry)
         return merged
 
     def _check(self, entry: Entry) -> None:
         if not KEY_PATTERN.fullmatch(entry.key):
-            raise StoreError("key", f"{entry.key!r:.60} is not one")
+            raise StoreError("key", f"{entry.key!r:.60} is not a valid key")
         _check_node(entry.node)
         _check_value(entry.value)
         if not 0 < entry.version <= self._clock_ms() + MAX_VERSION_LEAD_MS:
-            raise StoreError("version", f"{entry.version} is too far in the future")
+            raise StoreError("version", f"{entry.version} is not positive or is too far in the future")
         if entry.key not in self.entries and self._is_full(entry.key):
-            raise StoreError("key", "no room for another")
+            raise StoreError("key", f"no room for another key, {entry.key!r:.60}")
 
     def _is_full(self, key: str) -> bool:
         return len(self.entries) >= MAX_KEYS or len(self._buckets[bucket_of(key)]) >= MAX_KEYS_IN_BUCKET
@@ -181,7 +181,7 @@
     def compare_bucket(self, bucket: int, versions: dict[str, str]) -> BucketDifference:
         """Compare a bucket with a peer's version summary.
 
-        Of a key that both hold in different versions each sends its own; the later one wins at both.
+        If both replicas hold different versions of a key, each sends its own, and the newer one wins on both.
         """
         own = self._buckets[bucket]
         to_send = [entry for key, entry in own.items() if versions.get(key) != entry.version_digest]
@@ -191,16 +191,16 @@
 
 def _check_node(node: str) -> None:
     if not NODE_PATTERN.fullmatch(node):
-        raise StoreError("node", f"{node!r:.60} is not a name")
+        raise StoreError("node", f"{node!r:.60} is not a valid node name")
 
 
 def _check_value(value: str | None) -> None:
     try:
         size = len(orjson.dumps(value))
     except orjson.JSONEncodeError:
-        raise StoreError("value", "not text") from None
+        raise StoreError("value", "not valid Unicode text") from None
     if size > MAX_VALUE_BYTES:
-        raise StoreError("value", f"over {MAX_VALUE_BYTES} bytes")
+        raise StoreError("value", f"{size} bytes of JSON, more than {MAX_VALUE_BYTES}")
 
 
 def _bucket_digest(bucket: dict[str, Entry]) -> str:
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -21,7 +21,7 @@
 from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.discovery.endpoint_registry import EndpointRegistry
 from aspensaddle.discovery.endpoint_update import parse_endpoint_list
-from aspensaddle.store.settings import parse_store
+from aspensaddle.store.settings import parse_store_settings
 from aspensaddle.store.state import ReplicaState
 
 MANY = 1024
@@ -79,7 +79,7 @@
     stored = parse_stored_endpoints(b.values("runner/"))
     assert len(stored.update.endpoints) == len(b.values("balancer/")) == MANY and not stored.errors
     nodes = {f"n{n}": f"127.0.{n // 256}.{n % 256}:7000" for n in range(MANY)}
-    settings = parse_store({"enabled": True, "key": "00" * 16, "nodes": nodes})
+    settings = parse_store_settings({"enabled": True, "key": "00" * 16, "nodes": nodes})
     assert settings is not None and len(settings.nodes) == MANY
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,7 +24,7 @@
     encode_datagram,
     split_into_batches,
 )
-from aspensaddle.store.settings import parse_store
+from aspensaddle.store.settings import parse_store_settings
 from aspensaddle.store.state import (
     BUCKET_COUNT,
     MAX_KEYS,
@@ -190,9 +190,9 @@
 )
 def test_wrong_settings_name_the_field(field, value):
     good = {"enabled": True, "key": KEY.hex(), "nodes": {"n1": "127.0.0.1:7001"}}
-    assert parse_store(good).nodes == {"n1": ("127.0.0.1", 7001)}
+    assert parse_store_settings(good).nodes == {"n1": ("127.0.0.1", 7001)}
     with pytest.raises(DecodeError, match=field):
-        parse_store({**good, field: value})
+        parse_store_settings({**good, field: value})
 
 
 def operator(file, *args):
