--- a/aspensaddle/importer/__init__.py
+++ b/aspensaddle/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Imports the configuration of other programs. See `docs/importer.md`."""
+"""Converts nginx configuration files to the balancer's configuration. See `docs/importer.md`."""
--- a/aspensaddle/importer/__main__.py
+++ b/aspensaddle/importer/__main__.py
@@ -1,9 +1,10 @@
-"""Command line of the importer, see `docs/importer.md`.
+"""Command line of the importer (`docs/importer.md`).
 
     python -m aspensaddle.importer FILE [--upstream NAME] [--name NAME] [-o OUT]
 
-The servers of an nginx `upstream` become the endpoint list, each `location` that passes to it a request class. What
-cannot be imported is printed with its file and line; then nothing is written and the exit code is 1.
+The servers of an nginx `upstream` become the endpoint list, and each `location` that passes to it becomes a request
+class. If a part of the file can't be imported, the command prints it with its file and line, writes no configuration
+and exits with 1.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 import orjson
 
 from aspensaddle.importer.converter import convert
-from aspensaddle.importer.problems import Problem, UnreadableFile
+from aspensaddle.importer.problems import FileProblem, Problem
 from aspensaddle.support.json_fields import DecodeError, Message
 
 
@@ -26,7 +27,7 @@
     try:
         configuration, problems = convert(options.file, options.upstream, options.name)
     except DecodeError as error:
-        problems = [UnreadableFile(options.file, 0, str(error))]
+        problems = [FileProblem(options.file, 0, str(error))]
     if problems:
         print("\n".join(map(str, problems)), file=sys.stderr)
         return 1
@@ -34,11 +35,13 @@
 
 
 def _parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="aspensaddle.importer", description="nginx blocks to configuration")
+    parser = argparse.ArgumentParser(
+        prog="aspensaddle.importer", description="Convert nginx configuration to balancer configuration."
+    )
     parser.add_argument("file")
-    parser.add_argument("--upstream", help="which one, where the locations pass to several")
-    parser.add_argument("--name", default="n0", help="the balancer's name")
-    parser.add_argument("-o", "--output", help="a file instead of standard output")
+    parser.add_argument("--upstream", help="the upstream to import if the locations pass to several")
+    parser.add_argument("--name", default="n0", help="the name of the balancer (default: n0)")
+    parser.add_argument("-o", "--output", help="the file to write instead of standard output")
     return parser.parse_args(arguments)
 
 
--- a/aspensaddle/importer/converter.py
+++ b/aspensaddle/importer/converter.py
@@ -1,4 +1,4 @@
-"""Converts an nginx file to the program's configuration."""
+"""Converts an nginx configuration file to the balancer's configuration."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def convert(path: str, upstream: str | None = None, balancer_name: str = "n0") -> Conversion:
-    """Convert the file at `path`; `upstream` chooses one where its locations pass to several.
+    """Convert the file at `path`; `upstream` selects one if its locations pass to several.
 
     Raises:
-        DecodeError: the result is no valid configuration of the program.
+        DecodeError: If the result is not a valid configuration of the balancer.
     """
     directives, problems = parse_file(path)
     reader = ConfigurationReader()
--- a/aspensaddle/importer/directives.py
+++ b/aspensaddle/importer/directives.py
@@ -1,4 +1,4 @@
-"""Parses nginx files into typed directives."""
+"""Parses nginx configuration files into typed directives."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import crossplane
 
-from aspensaddle.importer.problems import Problem, UnreadableFile
+from aspensaddle.importer.problems import FileProblem, Problem
 from aspensaddle.support.json_fields import Message
 
 
@@ -24,24 +24,24 @@
 
 
 def parse_file(path: str) -> tuple[list[Directive], list[Problem]]:
-    """Return the directives of a file and of those it includes, and what could not be parsed."""
+    """Return the directives of a file and of the files that it includes, and the problems that the parser found."""
     payload: dict[str, Any] = crossplane.parse(path, combine=True, check_ctx=False, check_args=False)
-    problems: list[Problem] = [_parse_problem(error) for error in payload["errors"]]
-    directives = [_directive(parsed) for config in payload["config"] for parsed in config["parsed"]]
+    problems: list[Problem] = [_syntax_problem(error) for error in payload["errors"]]
+    directives = [_to_directive(parsed) for config in payload["config"] for parsed in config["parsed"]]
     return directives, problems
 
 
-def _parse_problem(error: Message) -> Problem:
-    reason = re.sub(r" in \S+:\d+$", "", str(error["error"]))  # the problem itself names the place
-    return UnreadableFile(error["file"], error.get("line") or 0, reason)
+def _syntax_problem(error: Message) -> Problem:
+    reason = re.sub(r" in \S+:\d+$", "", str(error["error"]))  # the problem has fields for file and line
+    return FileProblem(error["file"], error.get("line") or 0, reason)
 
 
-def _directive(parsed: Message) -> Directive:
+def _to_directive(parsed: Message) -> Directive:
     block = parsed.get("block")
     return Directive(
         file=str(parsed.get("file", "")),
         line=int(parsed.get("line") or 0),
         name=parsed["directive"],
         arguments=tuple(parsed["args"]),
-        block=None if block is None else tuple(_directive(inner) for inner in block),
+        block=None if block is None else tuple(_to_directive(inner) for inner in block),
     )
--- a/aspensaddle/importer/mapping.py
+++ b/aspensaddle/importer/mapping.py
@@ -1,4 +1,4 @@
-"""Maps an nginx configuration to the program's configuration file, whose keys are the platform's."""
+"""Maps an nginx configuration to the balancer's configuration, whose keys the platform defines."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 )
 from aspensaddle.support.json_fields import Message
 
-DEFAULT_LISTEN = "127.0.0.1:8000"
-DEFAULT_MAX_ATTEMPTS = 6  # where nginx has no limit
-MAX_RETRY_AFTER = 1.0  # s
+DEFAULT_LISTEN_ADDRESS = "127.0.0.1:8000"
+DEFAULT_MAX_ATTEMPTS = 6  # used if the nginx configuration sets no limit
+MAX_RETRY_AFTER_SECONDS = 1.0
 ROOT_CLASS_NAME = "root"
 
 
 class MappingError(Exception):
-    """The parts of the configuration do not fit together; `problems` holds each reason."""
+    """A configuration that can't be mapped; `problems` holds the reasons."""
 
     def __init__(self, *problems: Problem) -> None:
-        """Keep the problems."""
+        """Store the problems, whose texts make up the message."""
         super().__init__("; ".join(map(str, problems)))
         self.problems = problems
 
 
 def map_configuration(nginx: NginxConfiguration, upstream: str | None, balancer_name: str) -> Message:
-    """Return the configuration that serves one upstream; the one in use if `upstream` is None.
+    """Return the configuration for one upstream; if `upstream` is None, for the only one in use.
 
     Raises:
-        MappingError: no upstream or several are in use, or the locations contradict each other.
+        MappingError: If no upstream or several are in use, or the locations contradict each other.
     """
     locations = _locations_of_upstream(nginx, upstream)
     problems = _conflicts(locations)
@@ -40,7 +40,7 @@
     servers = nginx.upstreams[locations[0].upstream].servers
     return {
         "name": balancer_name,
-        "listen": nginx.listen or DEFAULT_LISTEN,
+        "listen": nginx.listen or DEFAULT_LISTEN_ADDRESS,
         "known": {"rev": 0, "all": True, "targets": [_endpoint(server) for server in servers]},
         "settings": _settings(locations),
     }
@@ -52,31 +52,31 @@
 
 
 def _locations_of_upstream(nginx: NginxConfiguration, upstream: str | None) -> list[Location]:
-    used = [location for location in nginx.locations if location.upstream in nginx.upstreams]
-    first = used[0].upstream if used else ""
+    used_locations = [location for location in nginx.locations if location.upstream in nginx.upstreams]
+    first_upstream = used_locations[0].upstream if used_locations else ""
     if upstream is None:
-        for location in used:
-            if location.upstream != first:
-                raise MappingError(AmbiguousUpstream(location.file, location.line, first, location.upstream))
-    chosen = upstream or first
-    locations = [location for location in used if location.upstream == chosen]
+        for location in used_locations:
+            if location.upstream != first_upstream:
+                raise MappingError(AmbiguousUpstream(location.file, location.line, first_upstream, location.upstream))
+    selected_upstream = upstream or first_upstream
+    locations = [location for location in used_locations if location.upstream == selected_upstream]
     if not locations:
-        raise MappingError(UnusedUpstream("", 0, chosen))
+        raise MappingError(UnusedUpstream("", 0, selected_upstream))
     return locations
 
 
 def _conflicts(locations: list[Location]) -> list[Problem]:
     problems: list[Problem] = []
     names: set[str] = set()
-    first = locations[0]
+    first_location = locations[0]
     for location in locations:
         name = request_class_name(location.path)
         if name in names:
             problems.append(DuplicateRequestClass(location.file, location.line, name))
         names.add(name)
         limits = (location.connect_timeout, location.max_attempts)
-        if limits != (first.connect_timeout, first.max_attempts):
-            problems.append(ConflictingLimits(location.file, location.line, first.line))
+        if limits != (first_location.connect_timeout, first_location.max_attempts):
+            problems.append(ConflictingLimits(location.file, location.line, first_location.line))
     return problems
 
 
@@ -101,7 +101,7 @@
             "connect-timeout": locations[0].connect_timeout,
             "most-tries": locations[0].max_attempts or DEFAULT_MAX_ATTEMPTS,
             "retry-after": True,
-            "max-retry-after": MAX_RETRY_AFTER,
+            "max-retry-after": MAX_RETRY_AFTER_SECONDS,
             "cancel": True,
         },
     }
--- a/aspensaddle/importer/nginx_model.py
+++ b/aspensaddle/importer/nginx_model.py
@@ -1,10 +1,10 @@
-"""The parts of an nginx configuration that are imported. Times are seconds."""
+"""The parts of an nginx configuration that can be imported. All times are in seconds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-NGINX_CONNECT_TIMEOUT = 60.0  # s, nginx's default
+NGINX_DEFAULT_CONNECT_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,20 +25,20 @@
 
 @dataclass(slots=True)
 class Location:
-    """A `location` block. A deadline or an attempt limit of 0 is not set."""
+    """A `location` block. A deadline or a maximum of attempts that is not set is 0."""
 
     file: str
     line: int
     path: str
     upstream: str = ""
     deadline: float = 0.0
-    connect_timeout: float = NGINX_CONNECT_TIMEOUT
+    connect_timeout: float = NGINX_DEFAULT_CONNECT_TIMEOUT_SECONDS
     max_attempts: int = 0
 
 
 @dataclass(slots=True)
 class NginxConfiguration:
-    """What a file defines; `listen` is `HOST:PORT`, None if not set."""
+    """The contents of a configuration file; `listen` is `HOST:PORT`, or None if not set."""
 
     upstreams: dict[str, Upstream] = field(default_factory=dict)
     locations: list[Location] = field(default_factory=list)
--- a/aspensaddle/importer/problems.py
+++ b/aspensaddle/importer/problems.py
@@ -1,4 +1,4 @@
-"""What cannot be imported: typed problems, each with the place in the file that it concerns."""
+"""Problems that prevent an import, each with the file and line that it concerns."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """Something that cannot be imported. `line` counts from 1; 0 means the whole file or none."""
+    """A reason why a file can't be imported. `line` counts from 1; 0 means the whole file or no file."""
 
     file: str
     line: int
 
     @property
     def text(self) -> str:
-        """What is wrong, in one line."""
+        """The description of the problem, in one line."""
         raise NotImplementedError
 
     def __str__(self) -> str:
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UnreadableFile(Problem):
-    """The file cannot be opened or parsed, or the result is no valid configuration."""
+class FileProblem(Problem):
+    """A file that can't be opened or parsed, or whose result is not a valid configuration."""
 
     reason: str
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectiveProblem(Problem):
-    """A directive that is unsupported or invalid."""
+    """A directive that is not supported or not valid."""
 
     directive: str
     reason: str
@@ -49,66 +49,66 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownUpstream(Problem):
-    """A location passes to an upstream that the file does not define."""
+    """A location that passes to an undefined upstream."""
 
     upstream: str
 
     @property
     def text(self) -> str:
-        """Return the name that was not found."""
-        return f"proxy_pass: {self.upstream} is no upstream of this file"
+        """Return the name of the upstream."""
+        return f"proxy_pass: {self.upstream} is not an upstream of this file"
 
 
 @dataclass(frozen=True, slots=True)
 class AmbiguousUpstream(Problem):
-    """The locations pass to several upstreams and none was chosen."""
+    """Locations that pass to several upstreams, of which none was selected."""
 
     first_upstream: str
     other_upstream: str
 
     @property
     def text(self) -> str:
-        """Return both upstreams and the remedy."""
+        """Return both upstreams and the option that selects one."""
         return (
-            f"location: passes to {self.other_upstream}, others to {self.first_upstream}; "
-            "one program serves one upstream: choose with --upstream"
+            f"location: passes to {self.other_upstream}, but an earlier location passes to {self.first_upstream}; "
+            "a balancer serves one upstream: select it with --upstream"
         )
 
 
 @dataclass(frozen=True, slots=True)
 class UnusedUpstream(Problem):
-    """No location passes to the chosen upstream."""
+    """A selected upstream to which no location passes."""
 
     upstream: str
 
     @property
     def text(self) -> str:
-        """Return the upstream."""
+        """Return the name of the upstream in a sentence."""
         return f"no location passes to upstream {self.upstream!r}"
 
 
 @dataclass(frozen=True, slots=True)
 class DuplicateRequestClass(Problem):
-    """Two locations make a request class of the same name."""
+    """A location whose request class has the same name as that of an earlier location."""
 
     class_name: str
 
     @property
     def text(self) -> str:
-        """Return the name."""
-        return f"location: a second class {self.class_name}"
+        """Return the name of the request class."""
+        return f"location: duplicate request class {self.class_name}"
 
 
 @dataclass(frozen=True, slots=True)
 class ConflictingLimits(Problem):
-    """A location's limits differ from those of the first location, at `first_line`."""
+    """A location whose limits differ from those of the first location, at `first_line`."""
 
     first_line: int
 
     @property
     def text(self) -> str:
-        """Return what has to agree and with which line."""
+        """Return the directives that must be the same and the line of the first location."""
         return (
             "location: proxy_connect_timeout and proxy_next_upstream_tries "
-            f"must be as at line {self.first_line}: the program has one of each"
+            f"must be the same as at line {self.first_line}: the balancer has one value of each"
         )
