--- a/aspensaddle/simulator_adapter/__init__.py
+++ b/aspensaddle/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the simulator: the decisions on its wire, without sockets."""
+"""Runs balancers in the simulator, with JSON messages on standard input and output."""
--- a/aspensaddle/simulator_adapter/wire.py
+++ b/aspensaddle/simulator_adapter/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: JSON messages to events, and actions to JSON messages.
+"""The simulator's wire format: decodes JSON messages to events and encodes actions as JSON messages.
 
-The field names of events and actions are mapped to the core's terms here and nowhere else; `host` reads the envelope.
+No other module knows the field names of events and actions; `host` reads those of the batches around them.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
     word,
 )
 
-EndpointLists: TypeAlias = dict[int, tuple[Endpoint, ...]]
+EndpointLists: TypeAlias = dict[int, tuple[Endpoint, ...]]  # by their number on the wire, `set-id`
 
-OUTCOME_BY_WORD = {
+OUTCOME_BY_STATE_CODE = {
     "success": Outcome.OK,
     "failure": Outcome.ERROR,
     "overloaded": Outcome.REJECTED,
@@ -63,8 +63,8 @@
     "withdrawn": Outcome.CANCELLED,
     "void": Outcome.NOT_SENT,
 }
-STATE_BY_WORD = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
-SCOPE_BY_WORD = {
+STATE_BY_PHASE = {"Ready": ServerState.READY, "Terminating": ServerState.DRAINING, "Gone": ServerState.GONE}
+UPDATE_SCOPE_BY_NAME = {
     "INCREMENTAL": EndpointUpdateScope.INCREMENTAL,
     "FULL": EndpointUpdateScope.COMPLETE,
     "SAVED": EndpointUpdateScope.CACHED,
@@ -77,7 +77,7 @@
 
 
 def parse_endpoints(message: Message) -> tuple[Endpoint, ...]:
-    """Return the endpoints of a PAGE. Raises `DecodeError` naming the field that is wrong."""
+    """Return the endpoints of a PAGE message. Raises `DecodeError` with the name of the field that is not valid."""
     items = [as_object(item, "items") for item in array(message, "items")]
     return tuple(_parse_endpoint(item) for item in items)
 
@@ -87,7 +87,7 @@
         server=integer(item, "server"),
         zone=integer(item, "region-part", 0),
         cell=integer(item, "pod", 0),
-        state=word(item, "phase", STATE_BY_WORD, ServerState.READY),
+        state=word(item, "phase", STATE_BY_PHASE, ServerState.READY),
         weight=number(item, "capacity-hint", 1.0),
         started_at=number(item, "started-at", 0.0),
         machine_type=integer(item, "generation-hw", -1),
@@ -98,7 +98,7 @@
 
 
 def _parse_request(message: Message) -> Request:
-    flag(message, "mid-flow")  # checked, but no decision reads it
+    flag(message, "mid-flow")  # validated, but not used in any decision
     return Request(
         request_id=text(message, "ref"),
         class_index=integer(message, "grade", 0),
@@ -112,8 +112,8 @@
     )
 
 
-def _parse_work_item(message: Message, lists: EndpointLists) -> Event:
-    number(message, "time-left")  # required here, not in an ADOPTED
+def _parse_work_item(message: Message, endpoint_lists: EndpointLists) -> Event:
+    number(message, "time-left")  # required in a WORK_ITEM, but not in an ADOPTED
     return _parse_request(message)
 
 
@@ -126,19 +126,19 @@
     return parse_load_report(usage)
 
 
-def _parse_returned(message: Message, lists: EndpointLists) -> Event:
-    _parse_load_report(message)  # checked, but no decision reads it
+def _parse_returned(message: Message, endpoint_lists: EndpointLists) -> Event:
+    _parse_load_report(message)  # validated, but not used in any decision
     return AttemptEnded(
         request_id=text(message, "ref"),
         attempt=integer(message, "n"),
         server=integer(message, "server"),
-        outcome=word(message, "state-code", OUTCOME_BY_WORD),
+        outcome=word(message, "state-code", OUTCOME_BY_STATE_CODE),
         latency=number(message, "lag", 0.0),
         finished=flag(message, "finished"),
     )
 
 
-def _parse_head_received(message: Message, lists: EndpointLists) -> Event:
+def _parse_head_received(message: Message, endpoint_lists: EndpointLists) -> Event:
     return ConnectionEstablished(
         request_id=text(message, "ref"),
         attempt=integer(message, "n"),
@@ -147,7 +147,7 @@
     )
 
 
-def _parse_status_note(message: Message, lists: EndpointLists) -> Event | None:
+def _parse_status_note(message: Message, endpoint_lists: EndpointLists) -> Event | None:
     topic = integer(message, "topic")
     amount = number(message, "amount")
     if topic == CONNECTION_LOAD_TOPIC:
@@ -156,42 +156,42 @@
     if topic == SERVER_LATENCY_TOPIC:
         latency = amount / MILLISECONDS_PER_SECOND
         return ServerLatencyReported(text(message, "ref"), integer(message, "server"), latency)
-    return None  # topics may be added
+    return None  # the simulator may add topics
 
 
-def _parse_backends_changed(message: Message, lists: EndpointLists) -> Event:
-    scope = word(message, "scope", SCOPE_BY_WORD)
+def _parse_backends_changed(message: Message, endpoint_lists: EndpointLists) -> Event:
+    scope = word(message, "scope", UPDATE_SCOPE_BY_NAME)
     if scope is EndpointUpdateScope.FAILED:
         return EndpointsChanged(scope)
-    list_number = integer(message, "set-id")
-    if list_number not in lists:
-        raise DecodeError(f"set-id {list_number} names no list sent before")
-    return EndpointsChanged(scope, lists[list_number])
+    set_id = integer(message, "set-id")
+    if set_id not in endpoint_lists:
+        raise DecodeError(f"set-id {set_id} is not the number of a list sent before")
+    return EndpointsChanged(scope, endpoint_lists[set_id])
 
 
-def _parse_wakeup(message: Message, lists: EndpointLists) -> Event:
+def _parse_wakeup(message: Message, endpoint_lists: EndpointLists) -> Event:
     return TimerFired(text(message, "label"))
 
 
-def _parse_client_gone(message: Message, lists: EndpointLists) -> Event:
+def _parse_client_gone(message: Message, endpoint_lists: EndpointLists) -> Event:
     return ClientDisconnected(text(message, "ref"))
 
 
-def _parse_adopted(message: Message, lists: EndpointLists) -> Event:
+def _parse_adopted(message: Message, endpoint_lists: EndpointLists) -> Event:
     return ConnectionAdopted(_parse_request(message), integer(message, "server"))
 
 
-def _parse_probe_done(message: Message, lists: EndpointLists) -> Event:
+def _parse_probe_done(message: Message, endpoint_lists: EndpointLists) -> Event:
     return HealthCheckCompleted(
         server=integer(message, "server"),
-        outcome=word(message, "state-code", OUTCOME_BY_WORD),
+        outcome=word(message, "state-code", OUTCOME_BY_STATE_CODE),
         latency=number(message, "lag", 0.0),
         report=_parse_load_report(message),
     )
 
 
-def _check_datagram(message: Message, lists: EndpointLists) -> None:
-    """Accept a message of another balancer: balancers share nothing."""
+def _validate_datagram(message: Message, endpoint_lists: EndpointLists) -> None:
+    """Validate a message from another balancer and ignore it: balancers share no state."""
     integer(message, "src-peer")
     value = text(message, "raw")
     try:
@@ -210,13 +210,13 @@
     "CLIENT_GONE": _parse_client_gone,
     "ADOPTED": _parse_adopted,
     "PROBE_DONE": _parse_probe_done,
-    "DATAGRAM": _check_datagram,
+    "DATAGRAM": _validate_datagram,
 }
 
 
 # ---------------------------------------------------------------- actions
 
-ACTION_RENDERERS: dict[type, Callable[[Any], Message]] = {
+ACTION_ENCODERS: dict[type, Callable[[Any], Message]] = {
     StartAttempt: lambda a: {"kind": "TRANSMIT", "ref": a.request_id, "server": a.server, "try-for": a.timeout},
     Reject: lambda a: {"kind": "REFUSE", "ref": a.request_id, "not-before-for": a.retry_after},
     Fail: lambda a: {"kind": "SURRENDER", "ref": a.request_id},
@@ -228,6 +228,6 @@
 }
 
 
-def render(action: Action) -> Message:
-    """Return the message for an action."""
-    return ACTION_RENDERERS[type(action)](action)
+def encode_action(action: Action) -> Message:
+    """Return the JSON message for an action."""
+    return ACTION_ENCODERS[type(action)](action)
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -11,7 +11,7 @@
 from standins import SETTINGS
 
 from aspensaddle.core.machine_types import load_machine_types
-from aspensaddle.simulator_adapter.host import Host
+from aspensaddle.simulator_adapter.host import BalancerHost
 from aspensaddle.support.config_errors import ConfigError
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -46,7 +46,7 @@
 
 def decisions(settings: dict, tmp_path) -> list:
     """Return the replies of a balancer with these settings to a hundred requests, through the simulator adapter."""
-    host, draw, replies = Host(), random.Random(3), []
+    host, draw, replies = BalancerHost(), random.Random(3), []
     events = [
         {"kind": "LAUNCH", "init-seed": 5, "options": settings},
         {
