--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 runners and 1,024 balancers: taken whole and by changes, and what a large fleet costs."""
+"""Fleets of 1,024 servers and 1,024 balancers: endpoint lists and their updates, the store, CPU cost and memory."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 from aspensaddle.store.settings import parse_store_settings
 from aspensaddle.store.state import ReplicaState
 
-MANY = 1024
+FLEET_SIZE = 1024
 
 
-def target(n: int, **more: Any) -> dict[str, Any]:
+def endpoint_entry(number: int, **fields: Any) -> dict[str, Any]:
     return {
-        "uid": f"s-{n:08x}",
-        "endpoint": f"127.1.{n // 256}.{n % 256}:8000",
+        "uid": f"s-{number:08x}",
+        "endpoint": f"127.1.{number // 256}.{number % 256}:8000",
         "az": "a",
         "state": "active",
         "capacity_hint": 2.0,
         "boot_ms": 0,
-        **more,
+        **fields,
     }
 
 
-def test_a_configuration_names_as_many_runners_and_balancers_and_changes_name_them_all_anew():
-    known = {"rev": 1, "all": True, "targets": [target(n) for n in range(MANY)]}
+def test_1024_servers_and_balancers_can_be_configured_and_one_update_can_replace_all_servers():
+    known = {"rev": 1, "all": True, "targets": [endpoint_entry(number) for number in range(FLEET_SIZE)]}
     config = parse_config(
         json.loads(
             json.dumps(
@@ -50,8 +50,8 @@
                     "discovery": "127.0.0.1:8500",
                     "known": known,
                     "settings": {
-                        "fleet-size": MANY,
-                        "index": MANY - 1,
+                        "fleet-size": FLEET_SIZE,
+                        "index": FLEET_SIZE - 1,
                         "failure-domains": ["a"],
                         "lanes": [{"name": "run", "aim": 0.3, "deadline": 1.2}],
                     },
@@ -59,40 +59,45 @@
             )
         )
     )
-    fleet = EndpointRegistry(config.zones)
-    harness = BalancerHarness(list(fleet.apply(config.known)), config.settings)
-    assert len(harness.balancer.servers) == len(fleet.addresses) == MANY and config.settings.balancer_count == MANY
-    changes = [target(n, state="left") for n in range(MANY)] + [target(MANY + n) for n in range(MANY)]
-    harness.update_endpoints(*fleet.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": changes})))
-    assert len(harness.balancer.servers) == len(fleet.addresses) == MANY
-    assert fleet.uid(harness.place(load_hint=0.05).server) >= f"s-{MANY:08x}"
-
-
-def test_the_store_keeps_as_many_of_both_and_removed_ones():
-    a, b = ReplicaState("n0", lambda: 10**12), ReplicaState("n1", lambda: 10**12)
-    for n in range(MANY):
-        a.put(f"runner/s-{n:08x}", json.dumps(target(n)))
-        a.put(f"balancer/n{n}", "{}")
-        a.put(f"runner/s-{MANY + n:08x}", None)
-    for bucket in b.differing_buckets(a.bucket_digests()):
-        b.merge(a.compare_bucket(bucket, b.version_summary(bucket)).to_send)
-    stored = parse_stored_endpoints(b.values("runner/"))
-    assert len(stored.update.endpoints) == len(b.values("balancer/")) == MANY and not stored.errors
-    nodes = {f"n{n}": f"127.0.{n // 256}.{n % 256}:7000" for n in range(MANY)}
+    registry = EndpointRegistry(config.zones)
+    harness = BalancerHarness(list(registry.apply(config.known)), config.settings)
+    assert (
+        len(harness.balancer.servers) == len(registry.addresses) == FLEET_SIZE
+        and config.settings.balancer_count == FLEET_SIZE
+    )
+    changes = [endpoint_entry(number, state="left") for number in range(FLEET_SIZE)] + [
+        endpoint_entry(FLEET_SIZE + number) for number in range(FLEET_SIZE)
+    ]
+    harness.update_endpoints(*registry.apply(parse_endpoint_list({"rev": 2, "all": False, "targets": changes})))
+    assert len(harness.balancer.servers) == len(registry.addresses) == FLEET_SIZE
+    assert registry.uid(harness.place(load_hint=0.05).server) >= f"s-{FLEET_SIZE:08x}"
+
+
+def test_the_store_holds_1024_servers_1024_balancers_and_1024_removed_keys():
+    source, replica = ReplicaState("n0", lambda: 10**12), ReplicaState("n1", lambda: 10**12)
+    for number in range(FLEET_SIZE):
+        source.put(f"runner/s-{number:08x}", json.dumps(endpoint_entry(number)))
+        source.put(f"balancer/n{number}", "{}")
+        source.put(f"runner/s-{FLEET_SIZE + number:08x}", None)
+    for bucket in replica.differing_buckets(source.bucket_digests()):
+        replica.merge(source.compare_bucket(bucket, replica.version_summary(bucket)).to_send)
+    stored = parse_stored_endpoints(replica.values("runner/"))
+    assert len(stored.update.endpoints) == len(replica.values("balancer/")) == FLEET_SIZE and not stored.errors
+    nodes = {f"n{number}": f"127.0.{number // 256}.{number % 256}:7000" for number in range(FLEET_SIZE)}
     settings = parse_store_settings({"enabled": True, "key": "00" * 16, "nodes": nodes})
-    assert settings is not None and len(settings.nodes) == MANY
+    assert settings is not None and len(settings.nodes) == FLEET_SIZE
 
 
-CORE = Path(aspensaddle.core.__file__).parent
+CORE_DIRECTORY = Path(aspensaddle.core.__file__).parent
 
 
-def lines_run(do: Callable[[], object]) -> int:
-    """How many lines of the decision modules that runs: the same on every machine."""
+def count_core_lines(action: Callable[[], object]) -> int:
+    """Return how many lines of the core an action runs, a measure of cost that is the same on every machine."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
         nonlocal count
-        if Path(frame.f_code.co_filename).parent != CORE:
+        if Path(frame.f_code.co_filename).parent != CORE_DIRECTORY:
             return None
         count += event == "line"
         return trace
@@ -100,37 +105,37 @@
     before = sys.gettrace()
     sys.settrace(trace)
     try:
-        do()
+        action()
     finally:
         sys.settrace(before)
     return count
 
 
-@pytest.mark.parametrize(("group", "growth"), [(None, 2), (3, 20)])
-def test_a_request_costs_the_same_with_a_thousand_servers_and_a_tick_or_change_a_look_at_each(group, growth):
-    """A group that comes often looks at as many servers as its share of what came asks for."""
+@pytest.mark.parametrize(("group", "max_growth"), [(None, 2), (3, 20)])
+def test_the_cost_of_a_request_grows_little_and_of_a_tick_or_update_at_most_linearly_with_servers(group, max_growth):
+    """A request of a session group considers as many servers as the group's share of the requests calls for."""
     cost: dict[int, list[int]] = {}
-    for servers in (10, 1000):
-        harness = BalancerHarness(servers, replace(SETTINGS, balancer_count=230, session_groups=True))
-        for n in range(5):
-            harness.place(load_hint=0.05, session_group=n)
+    for server_count in (10, 1000):
+        harness = BalancerHarness(server_count, replace(SETTINGS, balancer_count=230, session_groups=True))
+        for group_number in range(5):
+            harness.place(load_hint=0.05, session_group=group_number)
         harness.tick()
-        cost[servers] = [
-            lines_run(partial(harness.place, load_hint=0.05, session_group=group)),
-            lines_run(harness.tick),
-            lines_run(partial(harness.update_endpoints, entry(1, state=ServerState.DRAINING))),
+        cost[server_count] = [
+            count_core_lines(partial(harness.place, load_hint=0.05, session_group=group)),
+            count_core_lines(harness.tick),
+            count_core_lines(partial(harness.update_endpoints, entry(1, state=ServerState.DRAINING))),
         ]
-    request, tick, change = zip(cost[10], cost[1000], strict=True)
-    assert request[1] <= growth * request[0]
-    assert tick[1] <= 100 * tick[0] and change[1] <= 100 * change[0]
+    request, tick, update = zip(cost[10], cost[1000], strict=True)
+    assert request[1] <= max_growth * request[0]
+    assert tick[1] <= 100 * tick[0] and update[1] <= 100 * update[0]
 
 
-def test_a_thousand_servers_fit_into_a_small_part_of_the_memory_that_is_given():
+def test_a_balancer_with_1000_servers_uses_less_than_16_mib_at_its_peak():
     tracemalloc.start()
     try:
         harness = BalancerHarness(1000, replace(SETTINGS, balancer_count=1000, session_groups=True))
-        for n in range(200):
-            harness.place(load_hint=0.05, session_group=n % 40)
-        assert tracemalloc.get_traced_memory()[1] < 16 << 20  # of 80 MB
+        for number in range(200):
+            harness.place(load_hint=0.05, session_group=number % 40)
+        assert tracemalloc.get_traced_memory()[1] < 16 << 20  # of the 80 MB that a balancer is given
     finally:
         tracemalloc.stop()
