--- a/aspensaddle/importer/mapping.py
+++ b/aspensaddle/importer/mapping.py
@@ -52,14 +52,14 @@
 
 
 def _locations_of_upstream(nginx: NginxConfiguration, upstream: str | None) -> list[Location]:
-    used_locations = [location for location in nginx.locations if location.upstream in nginx.upstreams]
-    first_upstream = used_locations[0].upstream if used_locations else ""
+    upstream_locations = [location for location in nginx.locations if location.upstream in nginx.upstreams]
+    first_upstream = upstream_locations[0].upstream if upstream_locations else ""
     if upstream is None:
-        for location in used_locations:
+        for location in upstream_locations:
             if location.upstream != first_upstream:
                 raise MappingError(AmbiguousUpstream(location.file, location.line, first_upstream, location.upstream))
     selected_upstream = upstream or first_upstream
-    locations = [location for location in used_locations if location.upstream == selected_upstream]
+    locations = [location for location in upstream_locations if location.upstream == selected_upstream]
     if not locations:
         raise MappingError(UnusedUpstream("", 0, selected_upstream))
     return locations
--- a/aspensaddle/importer/problems.py
+++ b/aspensaddle/importer/problems.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileProblem(Problem):
-    """A file that can't be opened or parsed, or whose result is not a valid configuration."""
+    """A file that can't be opened or parsed, or whose conversion gives an invalid configuration."""
 
     reason: str
 
