--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from inside import Gate, Inside
+from frontend_harness import FrontendHarness, Gate
 from standins import Client, Runner, until
 
 
@@ -17,8 +17,8 @@
     runner.held = True
 
     async def script(f):
-        others = [await f.asks() for _ in range(behind)]
-        peer = await f.client()
+        others = [await f.send_open() for _ in range(behind)]
+        peer = await f.connect()
         await peer.send(b"OPEN left k c=test-run,d=3000\r\n")
         if leave == "ends":
             await peer.stream.send_eof()
@@ -28,13 +28,13 @@
         for _ in range(behind):
             await trio.to_thread.run_sync(runner.offered)
         if leave == "ends":
-            await peer.rest()
+            await peer.read_to_end()
             peer.stream.socket.close()
         for other in others:
             other.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script, accepting=False)
+    FrontendHarness([runner]).run(script, accepting=False)
     assert not any(b" left " in line for line in runner.first_lines) and len(runner.first_lines) == behind
 
 
@@ -45,12 +45,12 @@
     runner.held = True
 
     async def script(f):
-        peer = await f.asks()
+        peer = await f.send_open()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         runner.held = False
         (state,) = f.frontend.pending_requests.values()
         gate = Gate()
-        f.connector._connect = gate.before(f.connector._connect)
+        f.connector._connect = gate.hold(f.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
         state.placement_scope = trio.CancelScope()  # whoever reads comes to the end later: only a look can tell
@@ -60,11 +60,11 @@
             peer.reset()
         gate.opened.set()
         if leave == "ends":
-            await peer.rest()
+            await peer.read_to_end()
             peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
     assert len(runner.first_lines) == 1
 
 
@@ -73,20 +73,20 @@
     runner.held = True
 
     async def script(f):
-        peer = await f.asks()
+        peer = await f.send_open()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         runner.held = False
         gate = Gate()
-        f.connector._connect = gate.before(f.connector._connect)
+        f.connector._connect = gate.hold(f.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
         await peer.send(b"OPEN other k c=test-run,d=900\r\n")
         gate.opened.set()
-        assert await peer.rest() == b"ERR\r\n" and not peer.was_reset
+        assert await peer.read_to_end() == b"ERR\r\n" and not peer.was_reset
         peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
     assert len(runner.first_lines) == 1
 
 
@@ -95,16 +95,16 @@
 
     async def script(f):
         gate = Gate()
-        f.connector._connect = gate.before(f.connector._connect)
-        peer = await f.asks("c=test-run,d=900,at=s-0")
+        f.connector._connect = gate.hold(f.connector._connect)
+        peer = await f.send_open("c=test-run,d=900,at=s-0")
         await gate.reached.wait()
         await peer.stream.send_eof()
         gate.opened.set()
-        await peer.rest()
+        await peer.read_to_end()
         peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
     assert not runner.first_lines
 
 
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -9,7 +9,7 @@
 
 import pytest
 import trio
-from inside import Inside
+from frontend_harness import FrontendHarness
 from standins import WAIT, Client, Discovery, Program, Runner, until
 
 from aspensaddle.frontends.line_protocol.connection_slots import (
@@ -226,23 +226,23 @@
     runner = Runner("s-0")
 
     async def script(f):
-        whole, half, silent = [await f.client() for _ in range(3)]
-        await f.until(lambda: f.frontend.slots.count(ConnectionStage.WAITING) == 3)
+        whole, half, silent = [await f.connect() for _ in range(3)]
+        await f.wait_until(lambda: f.frontend.slots.count(ConnectionStage.WAITING) == 3)
         line = b"OPEN 000000000000000%d 7f3a9c21e0b4d655 c=test-run,d=3000\r\n"
         # No pass of the event loop lies between the arrival and the eviction.
         os.write(whole.stream.socket.fileno(), line % 1)
         os.write(half.stream.socket.fileno(), (line % 2)[:20])
         for _ in range(3):
             f.frontend.slots.evict_oldest()
-        assert await whole.line() == b"UP s-0\r\n"
+        assert await whole.read_line() == b"UP s-0\r\n"
         await half.send((line % 2)[20:])
-        assert await half.line() == b"UP s-0\r\n"
-        assert (await silent.rest()).startswith(b"BUSY")
+        assert await half.read_line() == b"UP s-0\r\n"
+        assert (await silent.read_to_end()).startswith(b"BUSY")
         for peer in (whole, half, silent):
             peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
 
 
 def send_lines(clients, manner):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -4,7 +4,7 @@
 
 import pytest
 import trio
-from inside import Gate, Inside
+from frontend_harness import FrontendHarness, Gate
 from standins import WAIT, Runner, reset
 
 from aspensaddle.core.actions import CancelAttempt, StartAttempt
@@ -29,18 +29,18 @@
         gate = Gate()
         owner, _, attribute = name.rpartition(".")
         target = {"connector": self.f.connector, "handler": self.f.frontend.handler}[owner]
-        self.monkeypatch.setattr(target, attribute, gate.before(getattr(target, attribute)))
+        self.monkeypatch.setattr(target, attribute, gate.hold(getattr(target, attribute)))
         self.gates.append(gate)
         return gate
 
     async def offered(self):
-        self.runner, self.first = await trio.to_thread.run_sync(self.f.runners[0].offered)
-        self.f.runners[0].held = False  # a further attempt is served
+        self.runner, self.first = await trio.to_thread.run_sync(self.f.servers[0].offered)
+        self.f.servers[0].held = False  # a further attempt is served
 
 
 async def resting(p):
-    p.peer = await p.f.client()
-    await p.f.until(lambda: p.f.frontend.slots.open)
+    p.peer = await p.f.connect()
+    await p.f.wait_until(lambda: p.f.frontend.slots.open)
 
 
 async def half_open(p):
@@ -50,13 +50,13 @@
 
 async def connecting(p):
     gate = p.gate("connector._connect")
-    p.peer = await p.f.asks()
+    p.peer = await p.f.send_open()
     await gate.reached.wait()
-    p.f.runners[0].held = False
+    p.f.servers[0].held = False
 
 
 async def offered(p):
-    p.peer = await p.f.asks()
+    p.peer = await p.f.send_open()
     await p.offered()
 
 
@@ -68,34 +68,34 @@
 async def standing(p):
     await offered(p)
     p.runner.sendall(b"UP s-0\r\n")
-    await p.peer.line()
+    await p.peer.read_line()
 
 
 async def half_line(p):
     await standing(p)
     p.runner.sendall(b"M 1\r\nM")
-    await p.f.until(lambda: p.f.counters["lines_received_from_servers"] == 2)
+    await p.f.wait_until(lambda: p.f.counters["lines_received_from_servers"] == 2)
 
 
 async def line_out(p):
     await standing(p)
     await p.peer.send(b"M 1\r\n")
-    await p.f.until(lambda: p.f.counters["lines_received_from_clients"] == 1)
+    await p.f.wait_until(lambda: p.f.counters["lines_received_from_clients"] == 1)
 
 
 async def answering(p):
     gate = p.gate("handler._finish")
     await offered(p)
     p.runner.sendall(b"BUSY\r\n")
-    p.f.change(p.f.runners[0].target(state="leaving"))  # no further attempt
+    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))  # no further attempt
     await gate.reached.wait()
 
 
 async def lingering(p):
     await offered(p)
-    p.f.change(p.f.runners[0].target(state="leaving"))
+    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))
     p.runner.sendall(b"BUSY\r\n")
-    await p.peer.line()
+    await p.peer.read_line()
 
 
 PLACES = [resting, half_open, connecting, offered, half_up, standing, half_line, line_out, answering, lingering]
@@ -104,8 +104,8 @@
 
 
 async def sigterm(p):
-    p.f.nursery.start_soon(p.f.end)
-    await p.f.until(lambda: not p.f.frontend.accepting_requests)
+    p.f.nursery.start_soon(p.f.terminate)
+    await p.f.wait_until(lambda: not p.f.frontend.accepting_requests)
 
 
 async def sighup(p):
@@ -142,7 +142,7 @@
 
 
 async def drain(p):
-    p.f.change(p.f.runners[0].target(state="leaving"))
+    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))
 
 
 async def deadline(p):
@@ -160,7 +160,7 @@
     """Cause the event at the stage, let everything continue, and check what the client got."""
     runner = Runner("s-0")
     runner.held = True
-    f = Inside([runner], connect_timeout=2.0)
+    f = FrontendHarness([runner], connect_timeout=2.0)
 
     async def script(f):
         p = Place(f, monkeypatch)
@@ -177,20 +177,20 @@
                 p.runner.sendall(b"UP s-0\r\n" if place is offered else b"0\r\n")
             if event in (sighup, drain) or event is deadline and place in (standing, half_line):
                 if place in (connecting, offered, half_up):
-                    await p.peer.line()
+                    await p.peer.read_line()
                 if place in (connecting, offered, half_up, *STANDING):
                     for state in f.frontend.open_connections.values():
                         state.migrate()  # it stands still: have it end
             elif event is runner_resets and place in STANDING:
                 pass
             elif place in (connecting, offered, half_up) and event in (runner_ends, runner_resets, deadline):
-                await p.peer.line()
+                await p.peer.read_line()
                 for state in f.frontend.open_connections.values():
                     state.migrate()
         if event is not client_resets:
-            await p.peer.rest()
+            await p.peer.read_to_end()
             p.peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
         check(p, place, event, left, offers)
 
     def check(p, place, event, left, offers):
@@ -198,7 +198,7 @@
         if left:
             assert len(runner.first_lines) == offers, "nothing is sent on for one who has left"
             return
-        got = p.peer.got
+        got = p.peer.received
         passed_on = event is runner_resets and place in STANDING
         assert p.peer.was_reset == passed_on, (got, p.peer.was_reset)
         if place in BEFORE:
@@ -213,7 +213,7 @@
             assert ANSWER.fullmatch(got), got
 
     f.run(script)
-    assert f.left_over <= 0
+    assert f.leaked_descriptors <= 0
     attempts = {}
     for line in runner.first_lines:
         attempts[line.split()[1]] = attempts.get(line.split()[1], 0) + 1
@@ -261,7 +261,7 @@
 
 
 def ends_at_once(monkeypatch):
-    monkeypatch.setattr("inside.shut_down", _cut_short)
+    monkeypatch.setattr("frontend_harness.shut_down", _cut_short)
 
 
 def says_nothing(monkeypatch):
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -4,14 +4,14 @@
 
 import pytest
 import trio
-from inside import LANE, Gate, Inside
+from frontend_harness import REQUEST_CLASS, FrontendHarness, Gate
 from standins import Runner, reset
 
-PURE, SIDE = {**LANE, "repeat": "pure"}, {**LANE, "repeat": "side_effect"}
+PURE, SIDE = {**REQUEST_CLASS, "repeat": "pure"}, {**REQUEST_CLASS, "repeat": "side_effect"}
 
 
 def token(group="all", window=5.0):
-    return {**LANE, "repeat": "token", "group": group, "window": window}
+    return {**REQUEST_CLASS, "repeat": "token", "group": group, "window": window}
 
 
 class Played:
@@ -22,23 +22,23 @@
         for r in self.runners:
             r.held = True
         targets = [r.target(az=a, pod_group=c) for r, a, c in zip(self.runners, az, cells, strict=True)]
-        self.f = Inside(self.runners, lanes=[lane], targets=targets)
+        self.f = FrontendHarness(self.runners, request_classes=[lane], targets=targets)
         self.answer, self.later = b"", 0.0
         clock = self.f.driver._clock
         self.f.driver._clock = lambda: clock() + self.later
 
     def run(self, happens):
         async def script(f):
-            peer = await f.asks()
-            await f.until(lambda: any(r.first_lines for r in self.runners))
+            peer = await f.send_open()
+            await f.wait_until(lambda: any(r.first_lines for r in self.runners))
             first = next(r for r in self.runners if r.first_lines)
             connection, _ = await trio.to_thread.run_sync(first.offered)
             for r in self.runners:
                 r.held = False
             await happens(self, connection)
-            self.answer = await peer.line()
+            self.answer = await peer.read_line()
             peer.stream.socket.close()
-            await f.gone()
+            await f.wait_until_all_closed()
 
         self.f.run(script)
         return self.answer.split()[0], sum(len(r.first_lines) for r in self.runners)
@@ -114,7 +114,7 @@
 
     async def happens(played, connection):
         gate = Gate()
-        played.f.connector._connect = gate.before(played.f.connector._connect)
+        played.f.connector._connect = gate.hold(played.f.connector._connect)
         reset(connection)
         await gate.reached.wait()
         played.later = 0.9
@@ -126,7 +126,7 @@
 def test_a_reload_that_shortens_the_window_takes_force_under_a_request_in_hand():
     async def happens(played, connection):
         gate = Gate()
-        played.f.connector._connect = gate.before(played.f.connector._connect)
+        played.f.connector._connect = gate.hold(played.f.connector._connect)
         reset(connection)
         await gate.reached.wait()
         played.later = 0.9
@@ -144,13 +144,13 @@
 
     async def script(f):
         gate = Gate()
-        f.connector._connect = gate.before(f.connector._connect)
-        peer = await f.asks("c=test-run,d=300")
+        f.connector._connect = gate.hold(f.connector._connect)
+        peer = await f.send_open("c=test-run,d=300")
         await gate.reached.wait()
-        assert (await peer.line()).startswith(b"BUSY")
+        assert (await peer.read_line()).startswith(b"BUSY")
         peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
     runner = Runner("s-0")
-    Inside([runner], lanes=[SIDE]).run(script)
+    FrontendHarness([runner], request_classes=[SIDE]).run(script)
     assert not runner.first_lines
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,8 +8,8 @@
 
 import pytest
 import trio
+from frontend_harness import FrontendHarness
 from helpers import SETTINGS as MODULE_SETTINGS
-from inside import Inside
 from standins import SETTINGS, WAIT, Client, Runner, until
 
 from aspensaddle.daemon.graceful_shutdown import (
@@ -110,17 +110,17 @@
     runner = Runner("s-0")
 
     async def script(f):
-        peers = [await f.client() for _ in range(60)]
+        peers = [await f.connect() for _ in range(60)]
         for peer in peers:
             if more:
                 await peer.send(more)
-        f.nursery.start_soon(f.end)
+        f.nursery.start_soon(f.terminate)
         for peer in peers:
-            assert re.fullmatch(rb"BUSY( \d+)?\r\n", await peer.rest()) and not peer.was_reset
+            assert re.fullmatch(rb"BUSY( \d+)?\r\n", await peer.read_to_end()) and not peer.was_reset
             peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script, accepting=False)
+    FrontendHarness([runner]).run(script, accepting=False)
     assert not runner.first_lines
 
 
@@ -185,17 +185,17 @@
     runner = Runner("s-0")
 
     async def script(f):
-        peers = [await f.asks() for _ in range(5)]
+        peers = [await f.send_open() for _ in range(5)]
         for peer in peers:
-            await peer.line()
-        await f.end()
+            await peer.read_line()
+        await f.terminate()
         assert not f.frontend.slots.open
         for peer in peers:
-            assert (await peer.rest()).endswith(b"MOVE\r\n") and not peer.was_reset
+            assert (await peer.read_to_end()).endswith(b"MOVE\r\n") and not peer.was_reset
             peer.stream.socket.close()
         await trio.sleep(0)
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
 
 
 def test_a_request_in_hand_counts_until_its_answer_is_out_and_is_waited_for_at_the_end():
@@ -204,25 +204,25 @@
     runner.held = True
 
     async def script(f):
-        peer = await f.asks()
+        peer = await f.send_open()
         connection, _ = await trio.to_thread.run_sync(runner.offered)
         assert f.frontend.unfinished_connections == f.frontend.slots.active == 1
-        f.nursery.start_soon(f.end)
-        await f.until(lambda: f.frontend.migrating_all)
+        f.nursery.start_soon(f.terminate)
+        await f.wait_until(lambda: f.frontend.migrating_all)
         connection.sendall(b"UP s-0\r\n")
-        assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
+        assert await peer.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
         assert (
             f.frontend.unfinished_connections == 0 and f.driver.now() < f.driver._attempts_end_at
         )  # at once, not with the last
         peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
-    Inside([runner]).run(script)
+    FrontendHarness([runner]).run(script)
 
 
 def test_who_is_given_up_in_the_moment_of_its_up_is_told_as_that():
     runner = Runner("s-0")
-    front = Inside([runner])
+    front = FrontendHarness([runner])
     attempt = front.connector.attempt
 
     async def and_given_up(*args):
@@ -232,10 +232,10 @@
 
     async def script(f):
         f.connector.attempt = and_given_up
-        peer = await f.asks()
-        assert (await peer.rest()).startswith(b"BUSY")
+        peer = await f.send_open()
+        assert (await peer.read_to_end()).startswith(b"BUSY")
         peer.stream.socket.close()
-        await f.gone()
+        await f.wait_until_all_closed()
 
     front.run(script)
     assert [more["reject_reason"] for name, more in front.events if name == "request"] == ["shutting_down"]
