--- a/aspensaddle/frontends/__init__.py
+++ b/aspensaddle/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The ways that clients come in. Fronts use the core and never each other."""
+"""Front ends, one for each protocol that clients use. A front end uses the core and never another front end."""
--- a/aspensaddle/frontends/line_protocol/connection_adopter.py
+++ b/aspensaddle/frontends/line_protocol/connection_adopter.py
@@ -19,20 +19,20 @@
 from aspensaddle.frontends.line_protocol.server_connector import AttemptEstablished
 
 ADOPTION_TIMEOUT_SECONDS = 38.0  # the protocol counts a connection as lost after 40 s
-ATTEMPT_TIMEOUT_SECONDS = 5.0  # of a server that is silent, where another attempt is allowed
+ATTEMPT_TIMEOUT_SECONDS = 5.0  # for a silent server, if the class allows another attempt
 INITIAL_BACKOFF_SECONDS = 0.5
-MAX_BACKOFF_SECONDS = 8.0  # with six attempts these cover most of the time
-ENDPOINT_LIST_CHECK_SECONDS = 0.1  # between two looks for a server that is not listed yet
+MAX_BACKOFF_SECONDS = 8.0  # the pauses between six attempts cover most of the adoption timeout
+ENDPOINT_LIST_CHECK_SECONDS = 0.1  # between two checks whether the endpoint list has the server
 
 
 class AdoptionResult(Enum):
-    """How an adoption ended."""
+    """Result of an adoption."""
 
     ESTABLISHED = "established"
-    SERVED = "served"  # completely, without an open connection
+    SERVED = "served"  # the server answered the request at once, without an open connection
     CLIENT_DISCONNECTED = "client_disconnected"
     PROTOCOL_VIOLATION = "protocol_violation"
-    SERVER_UNAVAILABLE = "server_unavailable"  # it drains, or has left the endpoint list
+    SERVER_UNAVAILABLE = "server_unavailable"  # it is draining or has left the endpoint list
     RETRY_NOT_ALLOWED = "retry_not_allowed"  # an attempt may have been executed, and the class forbids another
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
     DEADLINE_EXCEEDED = "deadline_exceeded"
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class _Adoption:
-    """What became of a connection to adopt so far. Times are of the event loop's clock, in seconds."""
+    """Progress of one adoption. Times are in seconds on the event loop's clock."""
 
     state: RequestState
     open_request: OpenRequest
@@ -52,19 +52,19 @@
     attempts: int = 0
     possibly_executed_at: float | None = None
     established: AttemptEstablished | None = None
-    response: bytes = b""  # of a server that served the request at once
-    result: AdoptionResult = AdoptionResult.CLIENT_DISCONNECTED  # until it is known
+    response: bytes = b""  # from a server that served the request at once
+    result: AdoptionResult = AdoptionResult.CLIENT_DISCONNECTED  # also if the adoption is cancelled
 
     @property
     def may_retry(self) -> bool:
-        """Whether the class allows one more attempt now."""
+        """Whether the request class allows another attempt now."""
         if self.possibly_executed_at is None:
             return True
         return self.request_class.allows_retry_after(trio.current_time() - self.possibly_executed_at)
 
     @property
     def client_may_retry(self) -> bool:
-        """Whether it is harmless that the client asks again."""
+        """Whether the client may be told to retry the request."""
         return self.possibly_executed_at is None or self.request_class.client_may_retry
 
 
@@ -72,7 +72,7 @@
     """Reopens connections at the server that the client names; the balancer does not choose one."""
 
     def __init__(self, frontend: FrontendState, connections: OpenConnections) -> None:
-        """Hand reopened connections to `connections`."""
+        """Create an adopter that passes reopened connections to `connections`."""
         self._frontend, self._connections = frontend, connections
 
     async def run(self, client: Link, open_request: OpenRequest, server_name: str) -> ConnectionEnd:
@@ -98,7 +98,7 @@
         pending[request_id] = adoption.state
         try:
             while (result := self._result_now(adoption)) is None:
-                if adoption.server is None:  # the list may come later than the client
+                if adoption.server is None:  # the endpoint list may arrive after the client
                     await self._pause(adoption, ENDPOINT_LIST_CHECK_SECONDS)
                     continue
                 await self._attempt(adoption)
@@ -109,7 +109,7 @@
             del pending[request_id]
 
     def _result_now(self, adoption: _Adoption) -> AdoptionResult | None:
-        """Return how the adoption ended, or None if it goes on."""
+        """Return the result of the adoption, or None if it continues."""
         if adoption.established is not None:
             return AdoptionResult.ESTABLISHED
         if adoption.response:
@@ -129,7 +129,7 @@
         return None
 
     async def _attempt(self, adoption: _Adoption) -> None:
-        """Make one attempt and note its outcome."""
+        """Make one attempt and record its outcome."""
         state, server = adoption.state, adoption.server
         assert server is not None
         adoption.attempts += 1
@@ -151,7 +151,7 @@
 
     @staticmethod
     async def _pause(adoption: _Adoption, seconds: float) -> None:
-        """Wait between two attempts; the shutdown ends the wait early."""
+        """Wait between two attempts; a shutdown ends the wait early."""
         with adoption.state.renew_attempt_scope():
             await trio.sleep_until(min(trio.current_time() + seconds, adoption.deadline))
 
@@ -184,7 +184,7 @@
 
 
 def _attempt_timeout(adoption: _Adoption) -> float:
-    """Return how long an attempt may take in seconds: all that is left where no other may follow it."""
+    """Return the timeout of an attempt in seconds: all the time left if no other attempt may follow it."""
     time_left = adoption.deadline - trio.current_time()
     if adoption.request_class.allows_retry_after(ATTEMPT_TIMEOUT_SECONDS):
         return min(ATTEMPT_TIMEOUT_SECONDS, time_left)
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -1,4 +1,4 @@
-"""Handler of one client connection: first line, what it asks for, and the close."""
+"""Handler of client connections: reads the first line, serves the request and closes the connection."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from aspensaddle.frontends.line_protocol.responses import ERROR, PONG, ConnectionEnd
 from aspensaddle.support.internal_errors import record_internal_error
 
-RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # for a client to take its response
-MAX_PINGS = 16  # before an OPEN
+RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # for the client to receive its response
+MAX_PINGS = 16  # PING commands before an OPEN
 # A first line read within this many passes of the event loop may have arrived together with its connection.
 MAX_LOOP_PASSES_SINCE_ACCEPT = 2
 
 
 class ConnectionHandler:
-    """Handles client connections, each from its accept to its close, in a task of its own."""
+    """Handles client connections from accept to close, each in a task of its own."""
 
     def __init__(self, frontend: FrontendState, requests: RequestLifecycle, adopter: ConnectionAdopter) -> None:
-        """Hand new requests to `requests` and connections to adopt to `adopter`."""
+        """Create a handler that passes new requests to `requests` and connections to adopt to `adopter`."""
         self._frontend, self._requests, self._adopter = frontend, requests, adopter
 
     async def handle(self, stream: trio.SocketStream, arrived_at: float, loop_passes: int) -> None:
@@ -35,8 +35,8 @@
 
         Args:
             stream: The connection.
-            arrived_at: Earliest time in seconds at which it can have arrived.
-            loop_passes: Passes of the event loop until the accept.
+            arrived_at: Earliest possible time of its arrival, in seconds.
+            loop_passes: Number of event loop passes at the accept.
         """
         link = Link(stream)
         with self._frontend.slots.hold(link) as slot:
@@ -44,7 +44,7 @@
                 end = await self._serve_or_report(link, slot, arrived_at, loop_passes)
                 await self._finish(link, slot, end)
             except ConnectionBrokenError as error:
-                self._record_broken(slot, error)
+                self._record_broken_connection(slot, error)
             finally:
                 link.close()
 
@@ -61,7 +61,7 @@
             return ConnectionEnd(b"" if link.response_started else ERROR)
 
     async def _serve(self, link: Link, slot: ConnectionSlot, arrived_at: float, loop_passes: int) -> ConnectionEnd:
-        """Read the first line within its time and do what it asks for."""
+        """Read the first line within its time limit and serve the request."""
         try:
             open_request = await self._read_open(link, slot)
         except (InvalidOpenError, LineTooLongError) as error:
@@ -71,22 +71,24 @@
         if open_request is None:
             return self._end_without_request(link, slot)
         self._frontend.counters.add("requests_received")
-        link.response_started = False  # a PONG was none to this request
+        link.response_started = False  # a PONG sent before the OPEN is not a response to this request
         if reason := self._reject_reason(open_request):
             self._frontend.counters.add(reason)
-            self._frontend.log.rate_limited_event("request_rejected_unplaced", reason=reason, **self._occupancy())
+            self._frontend.log.rate_limited_event(
+                "request_rejected_unplaced", reason=reason, **self._connections_by_stage()
+            )
             return ConnectionEnd(self._frontend.unavailable_response())
         self._frontend.slots.activate(slot)
         if open_request.adopted_server is not None:
             return await self._adopter.run(link, open_request, open_request.adopted_server)
         lag = self._frontend.event_loop_lag
         if lag.passes > loop_passes + MAX_LOOP_PASSES_SINCE_ACCEPT:
-            # The line may have arrived after its connection: it counts from this pass of the event loop.
+            # The line may have arrived later than its connection: its time counts from this event loop pass.
             arrived_at = lag.since
         return await self._requests.run(link, open_request, arrived_at)
 
     async def _read_open(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
-        """Return the OPEN; None if the connection ended or was evicted before it.
+        """Return the OPEN, or None if the connection ended or was evicted before it.
 
         Raises:
             ConnectionBrokenError: The connection was reset.
@@ -96,19 +98,19 @@
         open_request = await self._read_first_line_in_time(link, slot)
         if open_request is None:
             if slot.first_line_scope.cancelled_caught and not slot.evicted:
-                raise InvalidOpenError("no whole first line in time")
+                raise InvalidOpenError("no complete first line in time")
             return None
         request_id = open_request.request.request_id
         if request_id in self._frontend.driver or request_id in self._frontend.pending_requests:
-            raise InvalidOpenError("the id is in use")  # by another request, which goes on
+            raise InvalidOpenError("request id is in use")  # by another request, which continues
         if link.has_line_starting_with(COMMANDS):
-            raise InvalidOpenError("commands that did not wait for an answer")
+            raise InvalidOpenError("another command before the response")
         return open_request
 
     async def _read_first_line_in_time(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
         """Return the OPEN; None if the time is over, or the connection ended or was evicted, before it.
 
-        Bytes that had arrived by then count: this process may only have been late in reading them.
+        Bytes that had arrived by then are used, since the delay may have been in this process.
         """
         while True:
             with slot.first_line_scope:
@@ -116,7 +118,7 @@
             link.poll()
             if not (slot.evicted and link.buffered and self._frontend.slots.readmit(slot)):
                 break
-        with trio.CancelScope(deadline=-math.inf):  # reads on in the buffer, and waits for nothing
+        with trio.CancelScope(deadline=-math.inf):  # reads only what is buffered, without waiting
             return await self._read_first_line(link)
         return None
 
@@ -129,13 +131,13 @@
                 return parse_open(line, config.classes, config.settings.session_groups, config.tenants)
             pings += 1
             if pings > MAX_PINGS:
-                raise InvalidOpenError("too many commands")
+                raise InvalidOpenError("too many PING commands")
             self._frontend.counters.add("pings_received")
             await link.send(PONG)
         return None
 
     def _reject_reason(self, open_request: OpenRequest) -> str | None:
-        """Return the counter of the reason why this process cannot take the request, if any."""
+        """Return the counter for the reason why this process rejects the request, or None if it accepts it."""
         if not self._frontend.accepting_requests:
             return "rejected_after_shutdown_began"
         if open_request.adopted_server is None and self._frontend.slots.full:
@@ -143,18 +145,18 @@
         return None
 
     def _end_without_request(self, link: Link, slot: ConnectionSlot) -> ConnectionEnd:
-        """Record why a connection ends before its OPEN; return how."""
+        """Record why a connection ends before its OPEN; return how it ends."""
         if not slot.evicted:
             self._record_early_end("client_closed", link)
             return ConnectionEnd()
         reason = "descriptors_exhausted" if self._frontend.accepting_requests else "shutting_down"
         self._frontend.counters.add(f"connections_evicted_{reason}")
         self._frontend.log.rate_limited_event(
-            "connection_evicted", reason=reason, bytes_received=link.buffered, **self._occupancy()
+            "connection_evicted", reason=reason, bytes_received=link.buffered, **self._connections_by_stage()
         )
         return ConnectionEnd(self._frontend.unavailable_response())
 
-    def _record_broken(self, slot: ConnectionSlot, error: ConnectionBrokenError) -> None:
+    def _record_broken_connection(self, slot: ConnectionSlot, error: ConnectionBrokenError) -> None:
         """Record a client connection that was reset; after its OPEN the request has its own event."""
         if slot.stage is ConnectionStage.WAITING:
             self._record_early_end("client_reset", slot.link)
@@ -168,14 +170,14 @@
             "connection_ended_before_request", reason=reason, bytes_received=link.buffered if link else 0
         )
 
-    def _occupancy(self) -> dict[str, int]:
-        """Return the connections by stage, for the log."""
+    def _connections_by_stage(self) -> dict[str, int]:
+        """Return the number of connections in each stage, for the log."""
         return {stage.value: self._frontend.slots.count(stage) for stage in ConnectionStage}
 
     async def _finish(self, link: Link, slot: ConnectionSlot, end: ConnectionEnd) -> None:
-        """Send the response, end sending, read until the client has ended too, and close.
+        """Send the response, end sending, read until the client ends its sending, and close.
 
-        Shielded, so that the end of the process cannot cut off a response that is decided.
+        Sending is shielded, so that the end of the process cannot cut off a response.
         """
         if end.reset:
             link.reset()
--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -1,11 +1,13 @@
 """The file descriptors of client connections, by the stage of each connection.
 
-A connection waits for its first line, is active (from a valid OPEN to the last byte of its response, or of the
-connection it got) or lingers (its response is sent and its sending ended; it is read until the client has ended too).
-Only its own task writes to it or closes it. While descriptors are free every connection keeps its own. Once they are
-lacking, waiting connections that have sent nothing are evicted through a cancel scope, the oldest first, so silent
-clients, however many, keep out none with a request; an active connection is never evicted. See `docs/shutdown.md` for
-the stages and `docs/descriptors.md` for the sum.
+A connection is in one of three stages. It waits for its first line; it is active from a valid OPEN to the last byte
+of its response or of its relayed connection; or it lingers: its response is sent, sending has ended, and the process
+reads until the client ends its sending too. Only a connection's own task writes to it or closes it.
+
+While descriptors are free, every connection keeps its own. When they run out, waiting connections that have sent
+nothing are evicted through a cancel scope, the oldest first. Any number of silent clients therefore cannot keep out a
+client with a request. An active connection is never evicted. See `docs/shutdown.md` for the stages and
+`docs/descriptors.md` for the descriptor budget.
 """
 
 from __future__ import annotations
@@ -20,15 +22,15 @@
 from aspensaddle.frontends.line_protocol.link import Link
 from aspensaddle.support.counters import Counters
 
-ACCEPT_BATCH = 16  # connections accepted before those that are open have their turn
-# Beside clients, servers and health checks: standard streams 3, event loop 5, listener 1, discovery calls 3, a file
-# being read 2; and a batch of connections that are evicted and not closed yet.
+ACCEPT_BATCH = 16  # connections accepted before the tasks of open connections run again
+# Descriptors for everything but clients, servers and health checks: standard streams 3, event loop 5, listener 1,
+# discovery calls 3, a file being read 2; plus one batch of connections that are evicted and not closed yet.
 RESERVED_DESCRIPTORS = 14 + ACCEPT_BATCH
-MIN_STAGE_SHARE = 8  # of waiting and of lingering connections
+MIN_STAGE_SHARE = 8  # descriptors for waiting connections, and as many for lingering ones
 # From the accept to the end of the first line. The protocol allows a client 3 s from its connect.
 FIRST_LINE_TIMEOUT_SECONDS = 2.0
 LINGER_TIMEOUT_SECONDS = 0.7  # the client's connection must end within a second of its server's
-CLOSING_CHECK_SECONDS = 0.001  # between two looks whether evicted connections have closed
+CLOSING_CHECK_SECONDS = 0.001  # between two checks whether evicted connections have closed
 
 
 class ConnectionStage(Enum):
@@ -44,17 +46,17 @@
 
     Attributes:
         link: The connection.
-        stage: Its stage.
+        stage: Stage of the connection.
         first_line_scope: Limits the wait for the first line.
         linger_scope: Limits the lingering close.
-        evicted: It was evicted before its first line arrived.
-        readmitted: An eviction of it was revoked, since bytes had arrived.
+        evicted: Whether the connection was evicted before its first line arrived.
+        readmitted: Whether an eviction was revoked because bytes had arrived.
     """
 
     __slots__ = ("evicted", "first_line_scope", "linger_scope", "link", "readmitted", "stage")
 
     def __init__(self, link: Link | None) -> None:
-        """Start to wait for the first line."""
+        """Start in the waiting stage, with the time limit of the first line."""
         self.link = link
         self.stage = ConnectionStage.WAITING
         self.first_line_scope = trio.CancelScope(deadline=trio.current_time() + FIRST_LINE_TIMEOUT_SECONDS)
@@ -64,18 +66,18 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether no bytes of the client were read yet."""
+        """Whether nothing from the client is buffered."""
         return self.link is None or not self.link.buffered
 
 
 class ConnectionSlots:
-    """Knows every client connection, its stage, and how many descriptors are in use.
+    """Tracks every client connection, its stage, and the descriptors in use.
 
     Attributes:
-        max_active: Connections that may be active; a request beyond it is rejected.
+        max_active: Limit of active connections; a request beyond it is rejected.
         max_waiting: Descriptors that active and lingering connections always leave to waiting ones.
-        max_lingering: Connections that may linger.
-        starting: Connections that are accepted and hold no slot yet.
+        max_lingering: Limit of lingering connections.
+        starting: Accepted connections that hold no slot yet.
     """
 
     def __init__(self, counters: Counters, sockets: int, reserve: int = 0) -> None:
@@ -83,22 +85,22 @@
         self._counters = counters
         self._stages: dict[ConnectionStage, dict[ConnectionSlot, None]] = {
             stage: {} for stage in ConnectionStage
-        }  # each the oldest first
-        self._closing: set[ConnectionSlot] = set()  # evicted or aborted, their tasks have yet to close them
+        }  # the oldest connection of each stage first
+        self._closing: set[ConnectionSlot] = set()  # evicted or aborted, but not closed by their tasks yet
         self._evicts_new = False
         self.starting = 0
         self.configure(sockets, reserve)
 
     def configure(self, sockets: int, reserve: int = 0) -> None:
-        """Set the shares.
+        """Divide the descriptors among the stages.
 
         Args:
-            sockets: Descriptors that the platform allows; the limit of the machine counts where it is lower.
-            reserve: Descriptors of these kept for other parts of the process.
+            sockets: Descriptors that the platform allows; a lower limit of the machine takes precedence.
+            reserve: Of these, descriptors kept for other parts of the process.
         """
         available = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - reserve - RESERVED_DESCRIPTORS
         self._usable = max(2 + 2 * MIN_STAGE_SHARE, available)
-        # Active clients hold at most a third of the descriptors, and each may need one more to its server.
+        # Active clients hold at most a third of the descriptors, since each may need another one for its server.
         self.max_active = max(
             1, min((available + RESERVED_DESCRIPTORS) // 3, (self._usable - 2 * MIN_STAGE_SHARE) // 2)
         )
@@ -106,36 +108,36 @@
         self.max_waiting, self.max_lingering = remaining - remaining // 2, remaining // 2
 
     def count(self, stage: ConnectionStage) -> int:
-        """Return the connections in a stage."""
+        """Return the number of connections in a stage."""
         return len(self._stages[stage])
 
     @property
     def open(self) -> int:
-        """Connections in all stages."""
+        """Number of connections in all stages."""
         return sum(map(len, self._stages.values()))
 
     @property
     def active(self) -> int:
-        """Connections with a request whose response is not complete, or that are open to a server."""
+        """Number of connections that await a response or are relayed to a server."""
         return self.count(ConnectionStage.ACTIVE)
 
     @property
     def full(self) -> bool:
-        """Whether one more request could lack a descriptor to its server."""
+        """Whether there may be no descriptor for the server connection of another request."""
         return self.active >= self.max_active
 
     @property
     def descriptors(self) -> int:
-        """Descriptors in use; an active connection counts with one to its server."""
+        """Descriptors in use; each active connection counts twice, once for its server."""
         return self.open + self.active + self.starting
 
     @property
     def has_closing(self) -> bool:
-        """Whether connections were told to close and have not closed yet."""
+        """Whether evicted or aborted connections have not closed yet."""
         return bool(self._closing)
 
     def may_accept(self) -> bool:
-        """Return whether one more connection may be accepted; evicted ones need a moment to close."""
+        """Return whether another connection may be accepted; the limit allows for evicted ones that are closing."""
         return self.descriptors < self._usable + ACCEPT_BATCH
 
     @contextmanager
@@ -153,17 +155,17 @@
             self._closing.discard(slot)
 
     def activate(self, slot: ConnectionSlot) -> None:
-        """Note a valid OPEN: a response is owed."""
+        """Make a connection active after a valid OPEN."""
         self._enter(slot, ConnectionStage.ACTIVE)
         self._make_room()
 
     async def wait_for_descriptor(self) -> None:
-        """Wait until a descriptor to a server is free: what was evicted for it closes in its own task."""
+        """Wait until a descriptor for a server is free; the tasks of evicted connections close them."""
         while self.descriptors > self._usable + ACCEPT_BATCH and self._closing:
             await trio.sleep(CLOSING_CHECK_SECONDS)
 
     def linger(self, slot: ConnectionSlot, timeout: float = LINGER_TIMEOUT_SECONDS) -> None:
-        """Note that the last byte of the response is sent; the lingering close may take `timeout` seconds."""
+        """Make a connection linger after its last byte was sent, for at most `timeout` seconds."""
         slot.linger_scope.deadline = min(slot.linger_scope.deadline, trio.current_time() + timeout)
         self._enter(slot, ConnectionStage.LINGERING)
         if self.count(ConnectionStage.LINGERING) > self.max_lingering:
@@ -171,9 +173,9 @@
         self._make_room()
 
     def readmit(self, slot: ConnectionSlot) -> bool:
-        """Revoke the eviction of a connection whose bytes had arrived, once; return whether it may be read on.
+        """Revoke the eviction of a connection whose bytes had arrived; return whether reading may continue.
 
-        Another connection is evicted in its place if descriptors are still lacking.
+        A connection is readmitted once at most. Another one is evicted in its place if descriptors are still lacking.
         """
         if self._evicts_new or slot.readmitted:
             return False
@@ -191,7 +193,7 @@
         self._stages[stage][slot] = None
 
     def _make_room(self) -> None:
-        """Tell connections to close until the descriptors suffice, those first that lose least."""
+        """Close connections until the descriptors suffice, starting with those that lose least by it."""
         while self.descriptors - len(self._closing) > self._usable:
             if not (self._abort_evicted_lingering() or self.evict_oldest() or self.abort_oldest_lingering()):
                 return
@@ -204,7 +206,7 @@
             self._closing.add(slot)
 
     def evict_oldest(self) -> bool:
-        """Evict the connection that has waited longest, a silent one first; return False without any."""
+        """Evict the oldest silent waiting connection, else the oldest waiting one; return False if there is none."""
         slot = next((slot for slot in self._waiting() if slot.is_silent), None) or next(self._waiting(), None)
         if slot is None:
             return False
@@ -215,17 +217,17 @@
         return (slot for slot in self._stages[ConnectionStage.WAITING] if not slot.evicted)
 
     def evict_all_waiting(self) -> None:
-        """Evict all waiting connections, and those accepted from now on: the process shuts down."""
+        """Evict all waiting connections and all accepted from now on, for the shutdown."""
         self._evicts_new = True
         for slot in list(self._stages[ConnectionStage.WAITING]):
             self._evict(slot)
 
     def _abort_evicted_lingering(self) -> bool:
-        """Close a connection that was evicted and has its response; return False without any."""
+        """Close the oldest lingering connection that was evicted; return False if there is none."""
         return self._abort_first(slot for slot in self._lingering() if slot.evicted)
 
     def abort_oldest_lingering(self) -> bool:
-        """Close the connection that has lingered longest; return False without any."""
+        """Close the connection that has lingered longest; return False if there is none."""
         return self._abort_first(self._lingering())
 
     def _lingering(self) -> Iterator[ConnectionSlot]:
@@ -246,6 +248,6 @@
             slot.linger_scope.cancel()
 
     def free_descriptor(self) -> None:
-        """Close a connection that is not active, since an accept found no descriptor."""
+        """Close a lingering or waiting connection, after an accept failed for lack of a descriptor."""
         if not self.abort_oldest_lingering():
             self.evict_oldest()
--- a/aspensaddle/frontends/line_protocol/errors.py
+++ b/aspensaddle/frontends/line_protocol/errors.py
@@ -15,7 +15,7 @@
     """
 
     def __init__(self, operation: str) -> None:
-        """Note the operation that failed."""
+        """Create the error for the operation that failed."""
         super().__init__(f"connection broken during {operation}")
         self.operation = operation
 
@@ -24,25 +24,25 @@
     """A line is longer than the protocol allows.
 
     Attributes:
-        length: Bytes of the line that have arrived.
-        limit: Bytes that a line may have, its end included.
+        length: Bytes of the line received so far.
+        limit: Bytes allowed in a line, its end included.
     """
 
     def __init__(self, length: int, limit: int) -> None:
-        """Note the length and the limit, in bytes."""
+        """Create the error; both arguments are in bytes."""
         super().__init__(f"line of {length} bytes or more, at most {limit} are allowed")
         self.length = length
         self.limit = limit
 
 
 class InvalidOpenError(LineProtocolError):
-    """The first line of a client is not a valid OPEN, or not allowed now.
+    """The first line of a client is not a valid OPEN, or is not allowed now.
 
     Attributes:
         reason: What is wrong with it.
     """
 
     def __init__(self, reason: str) -> None:
-        """Note what is wrong."""
+        """Create the error with the reason."""
         super().__init__(reason)
         self.reason = reason
--- a/aspensaddle/frontends/line_protocol/frontend.py
+++ b/aspensaddle/frontends/line_protocol/frontend.py
@@ -1,4 +1,4 @@
-"""The line protocol front end: its parts, and what the process asks of it."""
+"""The line protocol front end and the functions that the daemon calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     """The front end of one process.
 
     Attributes:
-        handler: Handler of each client connection.
+        handler: Handler of the client connections.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         log: Log,
         reserve: int = 0,
     ) -> None:
-        """Set up the parts; `reserve` descriptors are kept for other parts of the process."""
+        """Create the components; `reserve` descriptors are kept for other parts of the process."""
         super().__init__(config, driver, connector, endpoints, counters, log, reserve)
         connections = OpenConnections(self)
         self.handler = ConnectionHandler(
@@ -51,7 +51,7 @@
         await self._listener.serve(listener, nursery)
 
     def accept(self, listener: Listener, nursery: trio.Nursery) -> bool:
-        """Accept what has arrived, at most one batch; return False if a descriptor was lacking."""
+        """Accept the connections that wait, at most one batch; return False for lack of a descriptor."""
         return self._listener.accept(listener, nursery)
 
     async def run_periodic_check(self) -> None:
@@ -59,14 +59,14 @@
         await run_periodic_check(self)
 
     def reject_pending_requests(self) -> None:
-        """Give every request without a decision its final response: the process shuts down."""
+        """Reject every request without a final decision, for the shutdown."""
         for request_id, state in list(self.pending_requests.items()):
             if request_id in self.driver:
                 self.driver.reject_on_shutdown(request_id)
-            else:  # a connection to adopt, which the driver does not know yet
+            else:  # an adoption, which the driver does not know yet
                 state.act(Reject(request_id, 0.0, RejectReason.SHUTTING_DOWN))
 
     @property
     def unfinished_connections(self) -> int:
-        """Clients whose response is not complete, and open connections."""
+        """Number of clients that await a response or have an open connection."""
         return self.slots.count(ConnectionStage.ACTIVE)
--- a/aspensaddle/frontends/line_protocol/frontend_state.py
+++ b/aspensaddle/frontends/line_protocol/frontend_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of the line protocol front end share."""
+"""State shared by the components of the line protocol front end."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     """Settings of the front end.
 
     Attributes:
-        classes: Numbers of the request classes by name.
-        tenants: Numbers of the tenants with a quota by name.
+        classes: Indexes of the request classes by name.
+        tenants: Indexes of the tenants with a quota by name.
         settings: Settings of the balancer.
-        sockets: Descriptors that the process may hold.
+        sockets: File descriptors that the process may hold.
     """
 
     classes: Mapping[str, int]
@@ -39,18 +39,18 @@
     """Services, settings, connections and shutdown state of one front end.
 
     Attributes:
-        config: Settings in force.
+        config: Current settings.
         driver: Driver of the balancer.
-        connector: Connections to servers.
-        endpoints: Known servers.
+        connector: Connects to servers.
+        endpoints: Registry of the known servers.
         counters: Counters of the process.
         log: Log of the process.
-        event_loop_lag: Event loop lag.
+        event_loop_lag: Monitor of the event-loop lag.
         slots: Slots of the client connections.
         pending_requests: Requests without a final decision, by id.
         open_connections: Requests with an open connection, by id.
-        accepting_requests: New requests are accepted; False while the process shuts down.
-        migrating_all: Connections that open from now on are migrated at once.
+        accepting_requests: Whether new requests are accepted; False during the shutdown.
+        migrating_all: Whether connections established from now on are migrated at once.
     """
 
     def __init__(
--- a/aspensaddle/frontends/line_protocol/health_checker.py
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks of servers: the platform's STATS command and the report in its response."""
+"""Health checks of servers with the STATS command, whose response carries a load report."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from aspensaddle.support.counters import Counters
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
-MAX_HEALTH_CHECK_CONNECTIONS = 64  # kept or in use
-DESCRIPTORS_PER_HEALTH_CHECK = 16  # one of so many may be a health check's
+MAX_HEALTH_CHECK_CONNECTIONS = 64  # idle or in use
+DESCRIPTORS_PER_HEALTH_CHECK = 16  # of the process, for each descriptor of a health check
 MAX_REPORT_FIELDS = 32
 STATS = b"STATS\r\n"
 
-_FIGURE = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
+_NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?([eE][+-]?\d{1,2})?")
 
 
 def parse_report(line: bytes, fields: tuple[str, ...]) -> dict[str, float] | None:
-    """Parse the report behind the first word of a response, `NAME=FIGURE,..`.
+    """Parse the report after the first word of a response, `NAME=NUMBER,..`.
 
-    Only `fields` count. Returns None for a line without any of them, or with anything else in it, a field twice or a
-    figure that is none.
+    Fields other than `fields` are ignored. Returns None if the line has none of `fields`, is malformed, has a field
+    twice or an invalid number.
     """
     report: dict[str, float] = {}
     for item in line.decode("latin-1").split()[1:2]:
         for pair in item.split(",", MAX_REPORT_FIELDS):
             name, _, value = pair.partition("=")
-            if not _FIGURE.fullmatch(value) or name in report:
+            if not _NUMBER.fullmatch(value) or name in report:
                 return None
             if name in fields:
                 report[name] = float(value)
@@ -45,7 +45,7 @@
     """Makes health checks and keeps their connections.
 
     Attributes:
-        sockets: Descriptors that the process may hold.
+        sockets: File descriptors that the process may hold.
     """
 
     def __init__(
@@ -65,16 +65,16 @@
 
     @property
     def max_connections(self) -> int:
-        """Descriptors that health checks may hold."""
+        """Number of descriptors that health checks may hold."""
         if not self._driver.settings.limits.health_checks_allowed:
             return 0
         return min(MAX_HEALTH_CHECK_CONNECTIONS, self.sockets // DESCRIPTORS_PER_HEALTH_CHECK)
 
     async def check(self, server: int) -> None:
-        """Ask a server for its load and report it to the driver; a late report counts as none.
+        """Request a load report from a server and pass it to the driver; a late report is not used.
 
-        The connection is kept for the next health check, to spare the server the cost of opening one. With
-        as many as allowed kept or in use, the check is deferred.
+        The connection is kept for the next health check, to spare the server the cost of a new one. The check is
+        deferred if all allowed connections are idle or in use.
         """
         self._counters.add("health_checks_started")
         started_at = trio.current_time()
@@ -104,7 +104,7 @@
         self._driver.health_check_completed(server, outcome, latency, parse_load_report(report) if report else None)
 
     def _has_room(self, link: Link | None) -> bool:
-        """Return whether one more may begin; close the oldest kept connection if that is needed for a new one."""
+        """Return whether another check may begin; close the oldest idle connection if a new one needs its place."""
         if link is None and self._idle and self._connections >= self.max_connections:
             self._idle.pop(next(iter(self._idle))).close()
         return self._connections < max(1, self.max_connections)
@@ -126,9 +126,9 @@
         return Outcome.OK, parse_report(line, self._driver.settings.load_report_fields)
 
     def _keep_or_close(self, server: int, link: Link, outcome: Outcome) -> None:
-        """Keep a connection whose response is complete, as far as descriptors allow.
+        """Keep a connection whose response is complete, as far as descriptors allow; close any other.
 
-        On any other, a late response could be read as that of the next health check.
+        On an incomplete one, a late response could be read as the response to the next health check.
         """
         for departed in [s for s in self._idle if s not in self._endpoints.addresses]:
             self._idle.pop(departed).close()
--- a/aspensaddle/frontends/line_protocol/link.py
+++ b/aspensaddle/frontends/line_protocol/link.py
@@ -1,4 +1,4 @@
-"""Lines of text over a TCP connection, and ways to close it."""
+"""TCP connection that carries lines of text, with the ways to close it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MAX_LINE_BYTES = 4096  # the line's end included
 READ_CHUNK_BYTES = 4096
-MAX_LINGER_BYTES = 65536  # read at most after the last response
+MAX_LINGER_BYTES = 65536  # limit of the bytes read after the last response
 
 
 def first_word(line: bytes) -> bytes:
@@ -22,13 +22,13 @@
 
 
 class Link:
-    """One TCP connection with a buffer for received bytes that no caller has taken yet.
+    """TCP connection with a buffer of received bytes.
 
     Attributes:
         stream: The connection.
-        ended: The other side has ended its sending or reset the connection.
-        response_started: Something was sent, at least in part.
-        sending_ended: This side has ended its sending.
+        ended: Whether the peer has ended its sending or reset the connection.
+        response_started: Whether anything was sent, even in part.
+        sending_ended: Whether this side has ended its sending.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -41,11 +41,11 @@
 
     @property
     def buffered(self) -> int:
-        """Bytes received and not taken."""
+        """Number of bytes in the buffer."""
         return len(self._buffer)
 
     async def receive(self) -> bool:
-        """Wait for more bytes; return False at the end.
+        """Wait for more bytes; return False once the peer has ended its sending.
 
         Raises:
             ConnectionBrokenError: The connection was reset or closed.
@@ -59,9 +59,9 @@
         return self._append(bytes(data))
 
     def poll(self) -> bool:
-        """Read what has arrived without waiting, as far as the buffer allows; return whether the peer is connected.
+        """Read what has arrived without waiting, up to the buffer limit; return whether the peer is connected.
 
-        Reads the socket itself, since a task that waits in `receive` may run later than the caller.
+        Reads from the socket directly, since a task that waits in `receive` may run later than the caller.
         """
         while not self.ended and len(self._buffer) < MAX_LINE_BYTES + READ_CHUNK_BYTES:
             try:
@@ -79,10 +79,10 @@
         return bool(data)
 
     def take_lines(self) -> bytes:
-        """Take all complete lines that have arrived.
+        """Remove all complete lines from the buffer and return them.
 
         Raises:
-            LineTooLongError: The incomplete line behind them is too long already.
+            LineTooLongError: The incomplete line after them is too long already.
         """
         end = self._buffer.rfind(b"\n") + 1
         if len(self._buffer) - end >= MAX_LINE_BYTES:
@@ -92,13 +92,13 @@
         return lines
 
     def take_rest(self) -> bytes:
-        """Take all that is buffered."""
+        """Remove everything from the buffer and return it."""
         rest = bytes(self._buffer)
         self._buffer.clear()
         return rest
 
     async def read_line(self) -> bytes | None:
-        """Return the next line with its end, or None if the connection ends before it.
+        """Return the next line with its line end, or None if the connection ends first.
 
         Raises:
             ConnectionBrokenError: The connection was reset or closed.
@@ -120,7 +120,7 @@
         return bool(self._buffer) and any(line.startswith(words) for line in bytes(self._buffer).split(b"\n")[:-1])
 
     async def send(self, data: bytes) -> None:
-        """Send all of `data`. What the kernel takes at once is written before any other task runs.
+        """Send all of `data`. What the kernel accepts at once is written before any other task runs.
 
         Raises:
             ConnectionBrokenError: The connection was reset or closed.
@@ -149,8 +149,8 @@
     async def close_lingering(self, scope: trio.CancelScope) -> None:
         """Shut down sending, read until the peer has ended or `scope` is cancelled, and close.
 
-        A close over unread bytes would reset the connection, and the peer could lose the last line. The bytes read
-        are limited, so a peer that sends without end cannot occupy this process.
+        Closing with unread bytes would reset the connection, and the peer could lose the last line. The number of
+        bytes read is limited, so that a peer that never stops sending cannot occupy this process.
         """
         with suppress(ConnectionBrokenError), scope:
             await self.end_sending()
@@ -160,7 +160,7 @@
                 self._buffer.clear()
         self._buffer.clear()
         with suppress(OSError):
-            self.poll()  # what arrived since the last read
+            self.poll()  # reads what has arrived since the last read
         self.close()
 
     def close(self) -> None:
--- a/aspensaddle/frontends/line_protocol/listener.py
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections and starts a task for each."""
+"""Listener that accepts client connections and starts a task for each."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class ClientListener:
-    """Accepts connections as far as descriptors allow."""
+    """Accepts client connections as far as descriptors allow."""
 
     def __init__(self, frontend: FrontendState, handler: ConnectionHandler) -> None:
-        """Accept connections for `handler`."""
+        """Create a listener that passes connections to `handler`."""
         self._frontend, self._handler = frontend, handler
 
     async def serve(self, listener: Listener, nursery: trio.Nursery) -> None:
-        """Accept connections until cancelled, also once the listener is closed."""
+        """Accept connections until cancelled; once the listener is closed, only wait."""
         self._frontend.event_loop_lag.begin()
         try:
             while True:
@@ -36,7 +36,7 @@
             self._frontend.event_loop_lag.end()
 
     def accept(self, listener: Listener, nursery: trio.Nursery) -> bool:
-        """Accept what has arrived, at most one batch; return False if a descriptor was lacking."""
+        """Accept the connections that wait, at most one batch; return False for lack of a descriptor."""
         slots, counters, lag = self._frontend.slots, self._frontend.counters, self._frontend.event_loop_lag
         for _ in range(ACCEPT_BATCH):
             if not slots.may_accept():
--- a/aspensaddle/frontends/line_protocol/open_connections.py
+++ b/aspensaddle/frontends/line_protocol/open_connections.py
@@ -1,4 +1,4 @@
-"""Open connections: relays each to its end and reports it to the driver."""
+"""Open connections: relays each one and reports its end to the driver."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OpenConnections:
-    """Serves connections from the server's UP to their end."""
+    """Serves connections from the UP of the server to their end."""
 
     def __init__(self, frontend: FrontendState) -> None:
         """Start without connections."""
@@ -25,7 +25,7 @@
     async def serve(
         self, client: Link, state: RequestState, request_id: str, server: int, established: AttemptEstablished
     ) -> ConnectionEnd:
-        """Relay all lines until a side ends or the client is migrated; return how the client's connection ends."""
+        """Relay lines until a side ends or the client is migrated; return how the client's connection ends."""
         frontend = self._frontend
         started_at = trio.current_time()
         parser = LoadReportParser(frontend.config.settings, self._latency_schedule(server), started_at)
@@ -45,7 +45,7 @@
         self._report_end(relay, outcome, migrated, trio.current_time() - started_at)
         if not migrated:
             return ConnectionEnd(reset=relay.reset)
-        return ConnectionEnd(MIGRATE, reset=not relay.client_at_line_end)  # half a line cannot be followed by another
+        return ConnectionEnd(MIGRATE, reset=not relay.client_at_line_end)  # no line can follow an incomplete one
 
     def _report_end(self, relay: Relay, outcome: Outcome, migrated: bool, duration: float) -> None:
         frontend = self._frontend
@@ -70,5 +70,5 @@
     if reset:
         link.reset()
         return
-    link.poll()  # a close over unread bytes would reset the connection
+    link.poll()  # closing with unread bytes would reset the connection
     link.close()
--- a/aspensaddle/frontends/line_protocol/open_request.py
+++ b/aspensaddle/frontends/line_protocol/open_request.py
@@ -1,4 +1,4 @@
-"""Parser of a client's first line, OPEN."""
+"""Parser of the OPEN line, the first line of a request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from aspensaddle.frontends.line_protocol.errors import InvalidOpenError
 from aspensaddle.support.hashing import stable_hash
 
-NO_TENANT = -1  # no tenant, or none with a quota
+NO_TENANT = -1  # the request has no tenant, or one without a quota
 HASH_BITS = 53
 MAX_WAIT_DIGITS = 9
 MAX_LOAD_HINT = 1e9
@@ -25,10 +25,10 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A client's first line.
+    """A parsed OPEN line.
 
     Attributes:
-        line: The line as it arrived, with its end.
+        line: The line as received, with its line end.
         request: The request for the balancer.
         adopted_server: Name of the server at which the connection was open before this process started, if any.
     """
@@ -38,20 +38,20 @@
     adopted_server: str | None = None
 
     def line_for_server(self, wait: float) -> bytes:
-        """Return the line with its wait replaced by `wait`, in seconds, and all else unchanged."""
+        """Return the line with its wait replaced by `wait`, in seconds, and everything else unchanged."""
         return _WAIT_FIELD.sub(b"d=%d" % max(1, int(wait * 1000)), self.line, count=1)
 
 
 def parse_open(
     line: bytes, classes: Mapping[str, int], groups: bool, tenants: Mapping[str, int] = _NO_TENANTS
 ) -> OpenRequest:
-    """Parse a first line.
+    """Parse an OPEN line.
 
     Args:
-        line: The line with its end.
-        classes: Numbers of the request classes by name.
+        line: The line with its line end.
+        classes: Indexes of the request classes by name.
         groups: Whether the platform has session groups.
-        tenants: Numbers of the tenants with a quota by name.
+        tenants: Indexes of the tenants with a quota by name.
 
     Raises:
         InvalidOpenError: The line is not a valid OPEN.
@@ -60,7 +60,7 @@
     values = _parse_fields(fields)
     class_index = classes.get(values.get("c", ""))
     if class_index is None:
-        raise InvalidOpenError("c names no class")
+        raise InvalidOpenError("c is not the name of a request class")
     time_left = _parse_wait(values)
     request = Request(
         request_id,
@@ -98,9 +98,9 @@
 
 
 def _parse_wait(values: Mapping[str, str]) -> float:
-    """Return how long the client waits, in seconds: without limit for a connection that is adopted without a wait.
+    """Return how long the client waits, in seconds; infinite for an adoption without a wait.
 
-    An empty wait is invalid: it could not be replaced in the line, and every server would answer ERR.
+    An empty wait is invalid: it could not be replaced in the line, and every server would respond with ERR.
     """
     wait = values.get("d")
     if (wait is None and "at" not in values) or (
--- a/aspensaddle/frontends/line_protocol/periodic_check.py
+++ b/aspensaddle/frontends/line_protocol/periodic_check.py
@@ -10,7 +10,7 @@
 
 
 async def run_periodic_check(frontend: FrontendState) -> None:
-    """Report lag and late responses to the driver and stop the relays of silent servers, until cancelled."""
+    """Until cancelled, report lag and late echoes to the driver and stop the relays of silent servers."""
     while True:
         due_at = trio.current_time() + CHECK_INTERVAL_SECONDS
         await trio.sleep(CHECK_INTERVAL_SECONDS)
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -15,27 +15,27 @@
 from aspensaddle.frontends.line_protocol.load_report_parser import ConnectionLoad, LoadReportParser
 from aspensaddle.support.counters import Counters
 
-# A server that leaves a line unanswered this long counts as cut off. The protocol's limit is 7 s: a client's next
-# line leaves within 2 s of that, and the periodic check runs four times a second.
+# A server that leaves a line unanswered for this long counts as unreachable. The protocol's limit is 7 s. Of that, up
+# to 2 s pass before the client sends its next line, and the periodic check runs four times a second.
 SERVER_SILENCE_TIMEOUT_SECONDS = 4.5
-SERVER_END_TIMEOUT_SECONDS = 5.0  # for a server to end its side once its client has
+SERVER_END_TIMEOUT_SECONDS = 5.0  # for a server to end its sending after the client has
 CLIENT_SEND_TIMEOUT_SECONDS = 0.9  # the protocol allows a second for a line
 MAX_AWAITED_ECHOES = 64
-SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # any other line of a server is a client's that comes back
+SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # except for LOAD, any other line of a server echoes one of the client
 
 
 class Relay:
-    """Relays lines until one side ends or the client is to be migrated.
+    """Relays lines until one side ends its sending or the client is to be migrated.
 
     Attributes:
         client: The client's connection.
         server: The server's connection.
-        request_id: Request that the connection came of.
+        request_id: Id of the request that led to the connection.
         load_report_parser: Parser of the server's LOAD lines.
         outcome: How the connection ended.
-        client_at_line_end: The client has received complete lines only.
-        reset: A connection broke, or the client took a line too slowly: the other side is reset too.
-        server_silent: The server left a line unanswered for too long.
+        client_at_line_end: Whether the client has received only complete lines.
+        reset: Whether a connection broke or the client read a line too slowly; the other side is then reset too.
+        server_silent: Whether the server left a line unanswered for too long.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self.reset = False
         self.server_silent = False
         self._stopped = False
-        self._last_word = b""  # of the server
+        self._last_word = b""  # first word of the last line from the server
         self._awaited_echoes: deque[float] = deque(maxlen=MAX_AWAITED_ECHOES)  # send times of lines not echoed yet
         self._scope = trio.CancelScope()
 
@@ -66,27 +66,27 @@
         self._scope.cancel()
 
     def check_silence(self, now: float) -> None:
-        """Stop if the server is cut off: it keeps its connections open and answers nothing."""
+        """Stop if the server is unreachable: its connection is open, but it answers nothing."""
         if self.echo_overdue(now) > SERVER_SILENCE_TIMEOUT_SECONDS and not self._stopped:
             self.server_silent = True
             self.stop()
 
     def echo_overdue(self, now: float) -> float:
-        """Return for how long the oldest line without an echo has been out, in seconds."""
+        """Return how long the oldest line without an echo has waited for it, in seconds."""
         return now - self._awaited_echoes[0] if self._awaited_echoes else 0.0
 
     async def run(self, response: bytes) -> bool:
-        """Relay until the end, first the server's `response`; return whether the client is to be migrated.
+        """Relay the server's `response` and all lines after it; return whether the client is to be migrated.
 
-        It cannot be once sending to it has ended.
+        A client cannot be migrated once sending to it has ended.
         """
         with self._scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._guard, Outcome.CANCELLED, self._from_client)
-                nursery.start_soon(self._guard, Outcome.CONNECTION_LOST, self._from_server, response)
+                nursery.start_soon(self._run_direction, Outcome.CANCELLED, self._relay_from_client)
+                nursery.start_soon(self._run_direction, Outcome.CONNECTION_LOST, self._relay_from_server, response)
         return self._stopped and not self.client.sending_ended
 
-    async def _guard(
+    async def _run_direction(
         self, outcome_of_long_line: Outcome, direction: Callable[..., Awaitable[None]], *args: bytes
     ) -> None:
         try:
@@ -95,46 +95,46 @@
             self.reset = True
             self._scope.cancel()
         except LineTooLongError:
-            self.outcome = outcome_of_long_line  # one of the client is not the server's failure
+            self.outcome = outcome_of_long_line  # a line of the client that is too long is not the server's failure
             self._scope.cancel()
 
-    async def _from_client(self) -> None:
+    async def _relay_from_client(self) -> None:
         while True:
             if lines := self.client.take_lines():
                 now = trio.current_time()
                 self.counters.add("lines_received_from_clients", count := lines.count(b"\n"))
                 for _ in range(count):
                     self._awaited_echoes.append(now)
-                await self._to_server(lines)
+                await self._send_to_server(lines)
             if not await self.client.receive():
                 break
         if rest := self.client.take_rest():
-            await self._to_server(rest)
+            await self._send_to_server(rest)
         with suppress(ConnectionBrokenError):
             await self.server.end_sending()
         await trio.sleep(SERVER_END_TIMEOUT_SECONDS)
         self._scope.cancel()
 
-    async def _to_server(self, data: bytes) -> None:
-        # If the server has closed, its last lines can still be read, and reading finds the end.
+    async def _send_to_server(self, data: bytes) -> None:
+        # If the server has closed, its last lines can still be read, and reading detects the end.
         with suppress(ConnectionBrokenError):
             await self.server.send(data)
 
-    async def _from_server(self, response: bytes) -> None:
+    async def _relay_from_server(self, response: bytes) -> None:
         # Lines that arrived together with the UP are buffered already.
         lines, more = response + self.server.take_lines(), True
         while more:
             if lines:
-                self._inspect(lines)
-                await self._to_client(lines)
+                self._report_lines(lines)
+                await self._send_to_client(lines)
             try:
                 more = await self.server.receive()
             except ConnectionBrokenError:
                 self.reset, more = True, False
             lines = self.server.take_lines()
         if rest := lines + self.server.take_rest():
-            self._inspect(rest)
-            await self._to_client(rest)
+            self._report_lines(rest)
+            await self._send_to_client(rest)
         if self._last_word == b"BYE":
             self.outcome = Outcome.OK
         elif self._last_word != b"MOVE" and not self.client.ended:
@@ -143,17 +143,17 @@
             await self.client.end_sending()  # the connection handler then closes it
         self._scope.cancel()
 
-    async def _to_client(self, lines: bytes) -> None:
-        # Shielded, since a migration must not cut a line; a client that does not read is disconnected.
+    async def _send_to_client(self, lines: bytes) -> None:
+        # Shielded, since a migration must not cut a line short. A client that does not read is disconnected.
         self.client_at_line_end = False
         with trio.move_on_after(CLIENT_SEND_TIMEOUT_SECONDS, shield=True) as limit:
             await self.client.send(lines)
         if limit.cancelled_caught:
-            raise ConnectionBrokenError("send within the time for one line")
+            raise ConnectionBrokenError("send within the time limit of a line")
         self.client_at_line_end = True
 
-    def _inspect(self, lines: bytes) -> None:
-        """Report to the driver what lines of the server say."""
+    def _report_lines(self, lines: bytes) -> None:
+        """Report the loads, latencies and echoes in lines of the server to the driver."""
         now = trio.current_time()
         for line in lines.splitlines():
             word = self._last_word = first_word(line)
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Life of a new request: from its OPEN to the response, or to the end of the connection that came of it."""
+"""Lifecycle of a new request, from its OPEN to its response or to the end of its relayed connection."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from aspensaddle.frontends.line_protocol.responses import ERROR, ConnectionEnd, response_to
 from aspensaddle.frontends.line_protocol.server_connector import AttemptEstablished, AttemptFailed
 
-RESPONSE_MARGIN_SECONDS = 0.03  # of the client's wait: its line's way here and the response's way back
-MAX_LAG_FRACTION = 0.25  # of the client's wait, kept back for this process's own lag
+RESPONSE_MARGIN_SECONDS = 0.03  # of the client's wait, for the network time of the OPEN and the response
+MAX_LAG_FRACTION = 0.25  # of the client's wait, subtracted at most for the event-loop lag
 
 
 @dataclass(slots=True)
 class _Placement:
-    """What became of a request so far."""
+    """Progress of the placement of one request."""
 
     state: RequestState
     open_request: OpenRequest
@@ -31,7 +31,7 @@
     started_at: float
     server: int | None = None  # of the last attempt
     established: AttemptEstablished | None = None
-    decision: Reject | Fail | None = None  # that ended the placement
+    decision: Reject | Fail | None = None  # the final one, if any
     response: bytes = b""
 
     @property
@@ -40,14 +40,14 @@
 
 
 class RequestLifecycle:
-    """Places requests and serves the connections that come of them."""
+    """Places requests and serves the connections established for them."""
 
     def __init__(self, frontend: FrontendState, connections: OpenConnections) -> None:
-        """Hand established connections to `connections`."""
+        """Create a lifecycle that passes established connections to `connections`."""
         self._frontend, self._connections = frontend, connections
 
     async def run(self, client: Link, open_request: OpenRequest, arrived_at: float) -> ConnectionEnd:
-        """Place a request, relay its connection if it gets one, and return how the client's connection ends."""
+        """Place a request and relay its connection, if any; return how the client's connection ends."""
         placement = self._prepare(client, open_request, arrived_at)
         await placement.state.run_while_client_waits(partial(self._place, placement))
         self._resolve(placement)
@@ -62,9 +62,9 @@
         )
 
     def _prepare(self, client: Link, open_request: OpenRequest, arrived_at: float) -> _Placement:
-        """Compute the time left of a request whose line arrived at `arrived_at`, in seconds.
+        """Start the placement of a request whose line arrived at `arrived_at`, in seconds, with its time left.
 
-        This process's recent lag is kept back too, since the response is likely to be as late.
+        The recent event-loop lag is subtracted too, since the response is likely to be as late.
         """
         now = trio.current_time()
         request = open_request.request
@@ -99,8 +99,8 @@
         result = await self._attempt_at_server(placement, start)
         if isinstance(result, AttemptEstablished):
             placement.established = result
-        elif placement.state.final is None:  # else the request was decided during the attempt
-            served = result.outcome is Outcome.OK  # completely, without an open connection
+        elif placement.state.final is None:  # otherwise a final decision came during the attempt
+            served = result.outcome is Outcome.OK  # the server answered at once, without an open connection
             self._frontend.driver.attempt_ended(start.request_id, result.outcome, finished=served)
             if served:
                 placement.response = result.response
@@ -120,7 +120,7 @@
         return AttemptFailed(Outcome.CANCELLED)
 
     def _resolve(self, placement: _Placement) -> None:
-        """Resolve the response if a final decision or a protocol violation came during the last attempt."""
+        """Set the response if a final decision or a protocol violation came during the last attempt."""
         state = placement.state
         if placement.established is not None and state.final is not None:
             placement.established.link.close()
--- a/aspensaddle/frontends/line_protocol/request_state.py
+++ b/aspensaddle/frontends/line_protocol/request_state.py
@@ -1,4 +1,4 @@
-"""State of one request: what the balancer decided, and whether the client still waits."""
+"""State of one request: the balancer's decisions, and whether the client is still connected."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from aspensaddle.frontends.line_protocol.link import MAX_LINE_BYTES, Link
 from aspensaddle.frontends.line_protocol.relay import Relay
 
-COMMANDS = (b"OPEN", b"PING", b"STATS")  # a client sends one and waits for the response
+COMMANDS = (b"OPEN", b"PING", b"STATS")  # after each, a client has to wait for the response
 
 
 class RequestState:
-    """One request from its OPEN to its end; the `RequestHandler` of the driver.
+    """State of a request from its OPEN to its end; implements the `RequestHandler` protocol of the driver.
 
-    Actions only take note and never wait, so they may arrive at any moment.
+    Its actions only record a decision and never wait, so they may be called at any time.
 
     Attributes:
         client: The client's connection.
-        final: The decision that ended the placement without a connection.
-        attempt_scope: Cancels the attempt decided last, whether it has begun or not; entered once.
-        attempts: Attempts decided so far.
+        final: The decision that ended the placement without a connection, if any.
+        attempt_scope: Cancels the latest attempt, whether it has begun or not; entered once.
+        attempts: Number of attempts decided so far.
         placement_scope: Cancels the whole placement.
-        relay: Relay of the open connection.
-        migration_requested: The client is to be migrated, now or once its connection is open.
+        relay: Relay of the open connection, if any.
+        migration_requested: Whether the client is to be migrated, now or once its connection is open.
     """
 
     def __init__(self, client: Link) -> None:
@@ -45,10 +45,10 @@
     # ------------------------------------------------------------ called by the driver
 
     def act(self, action: RequestAction) -> None:
-        """Take note of an action of the balancer."""
+        """Record an action of the balancer."""
         match action:
             case StartAttempt():
-                # A new scope here, since a cancellation may arrive before the attempt begins.
+                # The scope is created here, since a cancellation may arrive before the attempt begins.
                 self.attempt_scope = trio.CancelScope()
                 self.attempts += 1
                 self._next = action
@@ -72,13 +72,13 @@
     def client_is_connected(self) -> bool:
         """Return whether the client still waits for its response.
 
-        One that has ended its sending has left: the protocol does not allow it before the UP.
+        A client that has ended its sending counts as disconnected: the protocol forbids that before the UP.
         """
         return not self.protocol_violation and self.client.poll() and not self.protocol_violation
 
     @property
     def protocol_violation(self) -> bool:
-        """Whether the client has sent a command, or has `MAX_LINE_BYTES` or more unread, before its response.
+        """Whether the client sent another command, or `MAX_LINE_BYTES` or more, before its response.
 
         Without this, the first of many requests sent at once would be served as if it were the only one.
         """
@@ -87,7 +87,7 @@
     # ------------------------------------------------------------ called by the request's task
 
     async def next_decision(self) -> StartAttempt | Reject | Fail:
-        """Wait for the next decision. A final one is returned at once from then on."""
+        """Wait for the next decision. Once there is a final one, return it at once."""
         await self._decided.wait()
         if self.final is None:
             self._decided = trio.Event()
@@ -96,9 +96,9 @@
         return decision
 
     def renew_attempt_scope(self) -> trio.CancelScope:
-        """Return a new scope for the next step of this request; a scope can be entered only once.
+        """Replace and return the attempt scope, since a scope can be entered only once.
 
-        It is cancelled already if the request was decided meanwhile.
+        The new scope is already cancelled if there is a final decision.
         """
         self.attempt_scope = trio.CancelScope()
         if self.final is not None:
--- a/aspensaddle/frontends/line_protocol/responses.py
+++ b/aspensaddle/frontends/line_protocol/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients, and how a client's connection ends."""
+"""Responses to clients, and the end of a client's connection."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     """How a client's connection ends.
 
     Attributes:
-        response: What the client still gets, before the end of sending.
-        reset: The connection is reset, as its other side was, and the client gets nothing more.
+        response: What is still sent to the client before sending ends.
+        reset: Whether the connection is reset without sending anything more.
     """
 
     response: bytes = b""
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -1,4 +1,4 @@
-"""Connections to servers: one attempt of a request."""
+"""Connections to servers, and single attempts of requests on them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.sockets import NO_DESCRIPTORS, connect
 
-# Outcome of an attempt by the first word of the server's response.
+# Outcomes of attempts by the first word of the server's response.
 OUTCOMES = {
     b"UP": Outcome.OK,
     b"BYE": Outcome.OK,
@@ -28,10 +28,10 @@
 
 
 class FirstLine(Protocol):
-    """Makes the line that opens a connection."""
+    """Function that formats the OPEN line for a server."""
 
     def __call__(self, wait: float) -> bytes:
-        """Return the line for a balancer that waits `wait` seconds for the response."""
+        """Return the line, with a wait of `wait` seconds for the response."""
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
 
     Attributes:
         link: The connection to the server.
-        response: Its response line, followed by the LOAD lines that came before it.
+        response: The server's response line, followed by the LOAD lines that came before it.
     """
 
     link: Link
@@ -52,8 +52,8 @@
     """An attempt that did not become an open connection.
 
     Attributes:
-        outcome: Why; `OK` if the server served the request at once.
-        response: What the server has sent.
+        outcome: Reason, or `OK` if the server served the request at once.
+        response: Lines received from the server.
     """
 
     outcome: Outcome
@@ -61,10 +61,10 @@
 
 
 class ServerConnector:
-    """Makes attempts at servers, and holds their health checker."""
+    """Makes attempts at servers, and owns the health checker."""
 
     def __init__(self, driver: Driver, endpoints: EndpointRegistry, counters: Counters, sockets: int = 1024) -> None:
-        """Start without connections; `sockets` is the number of descriptors that the process may hold."""
+        """Start without connections; `sockets` is the number of file descriptors that the process may hold."""
         self.driver, self.endpoints, self.counters = driver, endpoints, counters
         self._health_checker = HealthChecker(
             driver, endpoints, counters, lambda server: self._connect(server), sockets
@@ -72,7 +72,7 @@
 
     @property
     def sockets(self) -> int:
-        """Descriptors that the process may hold."""
+        """Number of file descriptors that the process may hold."""
         return self._health_checker.sockets
 
     @sockets.setter
@@ -81,7 +81,7 @@
 
     @property
     def descriptors(self) -> int:
-        """Descriptors that health checks may hold."""
+        """Number of file descriptors that health checks may hold."""
         return self._health_checker.max_connections
 
     async def check_health(self, server: int) -> None:
@@ -91,14 +91,14 @@
     async def attempt(
         self, server: int, first_line: FirstLine, timeout: float, may_start: Callable[[], bool]
     ) -> AttemptEstablished | AttemptFailed:
-        """Offer a request to a server for at most `timeout` seconds.
+        """Send a request to a server and wait for its response, for at most `timeout` seconds in all.
 
-        Unless it is established, the connection is closed on return, so two attempts never overlap.
+        Unless it is established, the connection is closed on return, so that two attempts never overlap.
         """
         self.counters.add("attempts_started")
         deadline = trio.current_time() + timeout
         link: Link | None = None
-        outcome, response = Outcome.NOT_SENT, b""  # until the first byte
+        outcome, response = Outcome.NOT_SENT, b""  # until the first byte is sent
         try:
             with trio.move_on_at(deadline):
                 connected = await self._connect(server)
@@ -109,7 +109,9 @@
                     # There must be no checkpoint between this check and the first byte.
                     if may_start():
                         outcome = Outcome.TIMED_OUT
-                        outcome, response = await self._offer(link, first_line(deadline - trio.current_time()))
+                        outcome, response = await self._send_first_line(
+                            link, first_line(deadline - trio.current_time())
+                        )
                     if outcome is Outcome.OK and first_word(response) == b"UP":
                         established, link = AttemptEstablished(link, response), None
                         self.counters.add("attempts_established")
@@ -123,7 +125,7 @@
     async def _connect(self, server: int) -> Link | Outcome:
         address = self.endpoints.addresses.get(server)
         if address is None:
-            return Outcome.NOT_SENT  # left the endpoint list since it was chosen
+            return Outcome.NOT_SENT  # the server left the endpoint list after it was selected
         try:
             deadline = trio.current_time() + self.driver.settings.limits.connect_timeout
             with trio.move_on_at(deadline):
@@ -135,12 +137,12 @@
             return Outcome.UNREACHABLE
         return Outcome.UNREACHABLE
 
-    async def _offer(self, link: Link, line: bytes) -> tuple[Outcome, bytes]:
-        """Send the first line; return the outcome and the response, with the LOAD lines before it moved behind."""
+    async def _send_first_line(self, link: Link, line: bytes) -> tuple[Outcome, bytes]:
+        """Send the first line; return the outcome and the response, followed by any LOAD lines received before it."""
         try:
             await link.send(line)
         except ConnectionBrokenError:
-            return Outcome.UNREACHABLE, b""  # before the last byte of the line was written
+            return Outcome.UNREACHABLE, b""  # the line was not sent completely
         load_lines = b""
         try:
             while (response := await link.read_line()) is not None:
@@ -148,7 +150,7 @@
                     return OUTCOMES.get(first_word(response), Outcome.ERROR), response + load_lines
                 load_lines += response
                 if len(load_lines) > MAX_LINE_BYTES:
-                    break  # a response that never ends
+                    break  # LOAD lines without a response
         except (ConnectionBrokenError, LineTooLongError):
             pass
         return Outcome.CONNECTION_LOST, b""
