--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -108,7 +108,7 @@
         return open_request
 
     async def _read_first_line_in_time(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
-        """Return the OPEN; None if the time is over, or the connection ended or was evicted, before it.
+        """Return the OPEN, or None if the time limit passed or the connection ended or was evicted before it.
 
         Bytes that had arrived by then are used, since the delay may have been in this process.
         """
--- a/tests/test_answer_delivery.py
+++ b/tests/test_answer_delivery.py
@@ -1,4 +1,4 @@
-"""A decided response arrives complete, also if unread bytes remain when the connection is closed."""
+"""Responses arrive complete, also if the client sends during the close or the process shuts down."""
 
 import os
 import time
@@ -13,75 +13,77 @@
 from aspensaddle.frontends.line_protocol.link import Link
 
 
-def test_lines_that_nobody_reads_any_more_reset_no_connection_over_its_last_line():
-    """The server's BYE arrives while lines of the client are unread: a plain close would reset the connection."""
-    runner = Runner("s-0")
-    runner.held = True
+def test_client_that_still_sends_after_the_server_ended_gets_the_bye_without_a_reset():
+    """Guards against a plain close while lines of the client are unread, which would reset the connection."""
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.send_open()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
+    async def script(harness):
+        client = await harness.send_open()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
         connection.sendall(b"UP s-0\r\n")
-        assert await peer.read_line() == b"UP s-0\r\n"
+        assert await client.read_line() == b"UP s-0\r\n"
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
-        await f.wait_until(lambda: not f.frontend.open_connections)
+        await harness.wait_until(lambda: not harness.frontend.open_connections)
         for n in range(20):
-            await peer.send(b"M %d\r\n" % n)
-        await f.wait_until(lambda: not f.frontend.slots.open)  # it has read out, and given up waiting
-        assert await peer.read_to_end() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
-        peer.stream.socket.close()
+            await client.send(b"M %d\r\n" % n)
+        # The lingering close reads these lines and times out.
+        await harness.wait_until(lambda: not harness.frontend.slots.open)
+        assert await client.read_to_end() == b"UP s-0\r\nBYE\r\n" and not client.was_reset
+        client.stream.socket.close()
 
-    FrontendHarness([runner]).run(script)
+    FrontendHarness([server]).run(script)
 
 
-def test_an_open_that_crosses_the_end_of_a_resting_connection_gets_a_whole_answer_and_no_runner():
-    runner = Runner("s-0")
+def test_open_that_arrives_during_an_eviction_gets_a_complete_busy_and_no_attempt():
+    server = Runner("s-0")
 
-    async def script(f):
+    async def script(harness):
         gate = Gate()
-        f.frontend.handler._finish = gate.hold(f.frontend.handler._finish)
-        peer = await f.connect()
-        await f.wait_until(lambda: f.frontend.slots.open)
-        f.frontend.slots.evict_oldest()
+        harness.frontend.handler._finish = gate.hold(harness.frontend.handler._finish)
+        client = await harness.connect()
+        await harness.wait_until(lambda: harness.frontend.slots.open)
+        harness.frontend.slots.evict_oldest()
         await gate.reached.wait()
-        await peer.send(b"OPEN 1 k c=test-run,d=900\r\n")  # comes between the decision and its answer
+        await client.send(b"OPEN 1 k c=test-run,d=900\r\n")  # arrives between the eviction and its response
         gate.opened.set()
-        assert (await peer.read_to_end()).startswith(b"BUSY") and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        assert (await client.read_to_end()).startswith(b"BUSY") and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
-    assert not runner.first_lines
+    FrontendHarness([server]).run(script)
+    assert not server.first_lines
 
 
 @pytest.mark.parametrize(
-    "shed", ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "evict_all_waiting", "abort_all_lingering"]
+    "free_descriptors",
+    ["free_descriptor", "abort_oldest_lingering", "evict_oldest", "evict_all_waiting", "abort_all_lingering"],
 )
-def test_no_answer_that_is_to_come_is_lost_to_those_who_need_room(shed):
-    """The response is decided and not written yet, so the connection must not count as lingering."""
-    runner = Runner("s-0", b"BUSY\r\n")
+def test_response_not_sent_yet_arrives_although_descriptors_are_freed(free_descriptors):
+    """Guards against counting a connection as lingering before its response is written."""
+    server = Runner("s-0", b"BUSY\r\n")
 
-    async def script(f):
+    async def script(harness):
         gate = Gate()
-        f.frontend.handler._finish = gate.hold(f.frontend.handler._finish)
-        peer = await f.send_open()
+        harness.frontend.handler._finish = gate.hold(harness.frontend.handler._finish)
+        client = await harness.send_open()
         await gate.reached.wait()
-        getattr(f.frontend.slots, shed)()
+        getattr(harness.frontend.slots, free_descriptors)()
         await trio.testing.wait_all_tasks_blocked()
         gate.opened.set()
-        assert (await peer.read_to_end()).startswith(b"BUSY") and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        assert (await client.read_to_end()).startswith(b"BUSY") and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner], **{"most-tries": 1}).run(script)
+    FrontendHarness([server], **{"most-tries": 1}).run(script)
 
 
-def test_the_end_of_the_process_between_two_lines_does_not_take_an_answer_with_it(monkeypatch):
-    runner = Runner("s-0", b"BUSY\r\n")
+def test_response_that_is_being_sent_arrives_although_the_process_ends(monkeypatch):
+    server = Runner("s-0", b"BUSY\r\n")
     send = Link.send
 
-    async def script(f):
+    async def script(harness):
         gate = Gate()
 
         async def held(link, data):
@@ -90,129 +92,129 @@
             await send(link, data)
 
         monkeypatch.setattr(Link, "send", held)
-        peer = await f.send_open()
+        client = await harness.send_open()
         await gate.reached.wait()
-        f.nursery.cancel_scope.cancel()
+        harness.nursery.cancel_scope.cancel()
         await trio.testing.wait_all_tasks_blocked()
         gate.opened.set()
-        assert (await peer.read_to_end()).startswith(b"BUSY") and not peer.was_reset
-        peer.stream.socket.close()
+        assert (await client.read_to_end()).startswith(b"BUSY") and not client.was_reset
+        client.stream.socket.close()
 
-    FrontendHarness([runner], **{"most-tries": 1}).run(script)
+    FrontendHarness([server], **{"most-tries": 1}).run(script)
 
 
-def test_a_move_decided_as_a_connection_is_told_to_stand_comes_behind_its_up():
-    """The relay does not exist yet, so there is nothing to stop."""
-    runner = Runner("s-0")
+def test_migration_decided_while_a_connection_is_established_sends_move_after_up():
+    """The relay does not exist yet at that moment, so it cannot be stopped."""
+    server = Runner("s-0")
 
-    async def script(f):
-        established = f.driver.connection_established
+    async def script(harness):
+        established = harness.driver.connection_established
 
-        def and_moved(id):
+        def and_migrate(id):
             established(id)
-            f.driver._requests[id].handler.migrate()
+            harness.driver._requests[id].handler.migrate()
 
-        f.driver.connection_established = and_moved
-        peer = await f.send_open()
-        assert await peer.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        harness.driver.connection_established = and_migrate
+        client = await harness.send_open()
+        assert await client.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
+    FrontendHarness([server]).run(script)
 
 
-def test_no_move_follows_the_end_of_a_client_s_side():
-    runner = Runner("s-0")
-    runner.held = True
+def test_migration_after_sending_to_the_client_ended_sends_no_move():
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.send_open()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
+    async def script(harness):
+        client = await harness.send_open()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
         connection.sendall(b"UP s-0\r\n")
-        await peer.read_line()
-        (state,) = f.frontend.open_connections.values()
+        await client.read_line()
+        (state,) = harness.frontend.open_connections.values()
         end_sending = Link.end_sending
 
-        async def and_moved(link):
+        async def and_migrate(link):
             await end_sending(link)
             state.migrate()
 
-        state.client.end_sending = lambda: and_moved(state.client)
+        state.client.end_sending = lambda: and_migrate(state.client)
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
-        assert await peer.read_to_end() == b"UP s-0\r\nBYE\r\n" and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
-        assert [e["outcome"] for name, e in f.events if name == "connection_ended"] == ["ok"]
+        assert await client.read_to_end() == b"UP s-0\r\nBYE\r\n" and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
+        assert [fields["outcome"] for name, fields in harness.events if name == "connection_ended"] == ["ok"]
 
-    FrontendHarness([runner]).run(script)
+    FrontendHarness([server]).run(script)
 
 
-@pytest.mark.parametrize("answer", [b"LOAD 1\r\n" * 2000, b"x" * 4097, b"UP s-0", b"UP " + b"x" * 4095 + b"\r\n"])
-def test_a_runner_s_answer_that_never_ends_or_is_too_long_is_a_failed_attempt(answer):
-    runner = Runner("s-0")
-    runner.held = True
+@pytest.mark.parametrize("response", [b"LOAD 1\r\n" * 2000, b"x" * 4097, b"UP s-0", b"UP " + b"x" * 4095 + b"\r\n"])
+def test_endless_or_too_long_server_response_fails_the_attempt_and_a_second_one_succeeds(response):
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.send_open()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
-        runner.held = False
-        connection.sendall(answer)
-        if answer == b"UP s-0":
+    async def script(harness):
+        client = await harness.send_open()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
+        server.held = False
+        connection.sendall(response)
+        if response == b"UP s-0":
             connection.shutdown(1)
-        assert await peer.read_line() == b"UP s-0\r\n"  # of the second attempt
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        assert await client.read_line() == b"UP s-0\r\n"  # from the second attempt
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
-    assert len(runner.first_lines) == 2
+    FrontendHarness([server]).run(script)
+    assert len(server.first_lines) == 2
 
 
-def test_an_answer_that_comes_after_its_attempt_was_given_up_reaches_nobody():
-    runner = Runner("s-0")
-    runner.held = True
+def test_server_response_after_the_attempt_timed_out_is_not_passed_on():
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.send_open("c=test-run,d=300")
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
-        assert (await peer.read_line()).startswith(b"BUSY")
+    async def script(harness):
+        client = await harness.send_open("c=test-run,d=300")
+        connection, _ = await trio.to_thread.run_sync(server.offered)
+        assert (await client.read_line()).startswith(b"BUSY")
         connection.sendall(b"UP s-0\r\n")
-        got = await peer.read_to_end()
-        assert got.count(b"\r\n") == 1 and got.startswith(b"BUSY") and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
-
-    FrontendHarness([runner]).run(script)
-
-
-def test_what_this_process_was_late_is_taken_off_the_time_of_a_request():
-    """The time counts from a line's last byte, also where the process comes to it late."""
-    runner = Runner("s-0")
-    runner.held = True
-
-    async def script(f):
-        first = await f.send_open()
-        await trio.to_thread.run_sync(runner.offered)
-        await f.wait_until(lambda: f.frontend.pending_requests)
-        peer = await f.connect()
-        await f.wait_until(lambda: f.frontend.slots.open == 2)
-        busy = trio.lowlevel.current_clock().current_time
-        came = busy()
-        os.write(peer.stream.socket.fileno(), b"OPEN a k c=test-run,d=3000\r\n")  # no pass of the loop in between
-        while busy() < came + 0.4:  # a pass of the loop that takes long
+        got = await client.read_to_end()
+        assert got.count(b"\r\n") == 1 and got.startswith(b"BUSY") and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
+
+    FrontendHarness([server]).run(script)
+
+
+def test_event_loop_lag_is_subtracted_from_the_time_left_of_a_request():
+    """The time of a request counts from the last byte of its line, also if the process reads the line late."""
+    server = Runner("s-0")
+    server.held = True
+
+    async def script(harness):
+        first = await harness.send_open()
+        await trio.to_thread.run_sync(server.offered)
+        await harness.wait_until(lambda: harness.frontend.pending_requests)
+        client = await harness.connect()
+        await harness.wait_until(lambda: harness.frontend.slots.open == 2)
+        clock_time = trio.lowlevel.current_clock().current_time
+        arrived_at = clock_time()
+        os.write(client.stream.socket.fileno(), b"OPEN a k c=test-run,d=3000\r\n")  # no event loop pass in between
+        while clock_time() < arrived_at + 0.4:  # an event loop pass that takes long
             time.sleep(0.01)
-        await f.wait_until(lambda: "a" in f.frontend.pending_requests)
-        (left,) = (p.deadline for id, p in f.driver._requests.items() if id == "a")
-        # Both what it was late in coming to the line, and what it may be late again with the answer.
-        assert left - f.driver.now() <= 3.0 - 0.03 - 0.4 - 0.3
-        for p in (peer, first):
-            p.stream.socket.close()
-        await f.wait_until_all_closed()
+        await harness.wait_until(lambda: "a" in harness.frontend.pending_requests)
+        (deadline,) = (request.deadline for id, request in harness.driver._requests.items() if id == "a")
+        # Subtracted are the delay in reading the line and the same lag once more, expected for the response.
+        assert deadline - harness.driver.now() <= 3.0 - 0.03 - 0.4 - 0.3
+        for connected in (client, first):
+            connected.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
+    FrontendHarness([server]).run(script)
 
 
-def test_the_shares_leave_those_with_an_answer_alone():
+def test_freeing_descriptors_does_not_close_an_active_connection():
     async def main():
         slots = ConnectionSlots({}, 64)
         with slots.hold(None) as slot:
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,4 +1,4 @@
-"""No attempt is made for a client that has disconnected, at any stage."""
+"""No attempt is made for a client that has disconnected, at any stage of its request."""
 
 import signal
 import socket
@@ -10,128 +10,128 @@
 
 
 @pytest.mark.parametrize("leave", ["ends", "resets"])
-@pytest.mark.parametrize("behind", [0, 40])
-def test_one_that_left_in_the_accept_queue_is_not_sent_on(leave, behind):
-    """Its OPEN and its end have both arrived before the first read; other clients are ahead of it."""
-    runner = Runner("s-0")
-    runner.held = True
-
-    async def script(f):
-        others = [await f.send_open() for _ in range(behind)]
-        peer = await f.connect()
-        await peer.send(b"OPEN left k c=test-run,d=3000\r\n")
+@pytest.mark.parametrize("clients_ahead", [0, 40])
+def test_client_that_left_before_its_accept_causes_no_attempt(leave, clients_ahead):
+    """Its OPEN and its end have both arrived before the first read; other clients are ahead in the accept queue."""
+    server = Runner("s-0")
+    server.held = True
+
+    async def script(harness):
+        others = [await harness.send_open() for _ in range(clients_ahead)]
+        client = await harness.connect()
+        await client.send(b"OPEN left k c=test-run,d=3000\r\n")
         if leave == "ends":
-            await peer.stream.send_eof()
+            await client.stream.send_eof()
         else:
-            peer.reset()
-        f.nursery.start_soon(f.frontend.serve, f.listener, f.nursery)
-        for _ in range(behind):
-            await trio.to_thread.run_sync(runner.offered)
+            client.reset()
+        harness.nursery.start_soon(harness.frontend.serve, harness.listener, harness.nursery)
+        for _ in range(clients_ahead):
+            await trio.to_thread.run_sync(server.offered)
         if leave == "ends":
-            await peer.read_to_end()
-            peer.stream.socket.close()
+            await client.read_to_end()
+            client.stream.socket.close()
         for other in others:
             other.stream.socket.close()
-        await f.wait_until_all_closed()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script, accepting=False)
-    assert not any(b" left " in line for line in runner.first_lines) and len(runner.first_lines) == behind
+    FrontendHarness([server]).run(script, accepting=False)
+    assert not any(b" left " in line for line in server.first_lines) and len(server.first_lines) == clients_ahead
 
 
 @pytest.mark.parametrize("leave", ["ends", "resets"])
-def test_a_further_attempt_does_not_begin_for_one_that_left_during_the_first(leave):
-    """The end of the first attempt and that of the client are found in one pass, the attempt's first."""
-    runner = Runner("s-0")
-    runner.held = True
-
-    async def script(f):
-        peer = await f.send_open()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
-        runner.held = False
-        (state,) = f.frontend.pending_requests.values()
+def test_client_that_left_during_the_first_attempt_causes_no_second_one(leave):
+    """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
+    server = Runner("s-0")
+    server.held = True
+
+    async def script(harness):
+        client = await harness.send_open()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
+        server.held = False
+        (state,) = harness.frontend.pending_requests.values()
         gate = Gate()
-        f.connector._connect = gate.hold(f.connector._connect)
+        harness.connector._connect = gate.hold(harness.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
-        state.placement_scope = trio.CancelScope()  # whoever reads comes to the end later: only a look can tell
+        state.placement_scope = trio.CancelScope()  # as if `watch` ran later; only a poll detects the end
         if leave == "ends":
-            await peer.stream.send_eof()
+            await client.stream.send_eof()
         else:
-            peer.reset()
+            client.reset()
         gate.opened.set()
         if leave == "ends":
-            await peer.read_to_end()
-            peer.stream.socket.close()
-        await f.wait_until_all_closed()
+            await client.read_to_end()
+            client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
-    assert len(runner.first_lines) == 1
+    FrontendHarness([server]).run(script)
+    assert len(server.first_lines) == 1
 
 
-def test_a_client_that_sends_commands_while_it_waits_gets_an_error_and_no_further_attempt():
-    runner = Runner("s-0")
-    runner.held = True
+def test_client_that_sends_a_command_before_its_response_gets_an_error_and_no_further_attempt():
+    server = Runner("s-0")
+    server.held = True
 
-    async def script(f):
-        peer = await f.send_open()
-        connection, _ = await trio.to_thread.run_sync(runner.offered)
-        runner.held = False
+    async def script(harness):
+        client = await harness.send_open()
+        connection, _ = await trio.to_thread.run_sync(server.offered)
+        server.held = False
         gate = Gate()
-        f.connector._connect = gate.hold(f.connector._connect)
+        harness.connector._connect = gate.hold(harness.connector._connect)
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
-        await peer.send(b"OPEN other k c=test-run,d=900\r\n")
+        await client.send(b"OPEN other k c=test-run,d=900\r\n")
         gate.opened.set()
-        assert await peer.read_to_end() == b"ERR\r\n" and not peer.was_reset
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        assert await client.read_to_end() == b"ERR\r\n" and not client.was_reset
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
-    assert len(runner.first_lines) == 1
+    FrontendHarness([server]).run(script)
+    assert len(server.first_lines) == 1
 
 
-def test_an_adoption_is_not_offered_for_one_that_left():
-    runner = Runner("s-0")
+def test_client_that_left_during_its_adoption_causes_no_attempt():
+    server = Runner("s-0")
 
-    async def script(f):
+    async def script(harness):
         gate = Gate()
-        f.connector._connect = gate.hold(f.connector._connect)
-        peer = await f.send_open("c=test-run,d=900,at=s-0")
+        harness.connector._connect = gate.hold(harness.connector._connect)
+        client = await harness.send_open("c=test-run,d=900,at=s-0")
         await gate.reached.wait()
-        await peer.stream.send_eof()
+        await client.stream.send_eof()
         gate.opened.set()
-        await peer.read_to_end()
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        await client.read_to_end()
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
-    assert not runner.first_lines
+    FrontendHarness([server]).run(script)
+    assert not server.first_lines
 
 
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
-def test_the_program_finds_those_that_left_while_it_stood_still(world, leave):
-    w = world()
-    w.program.process.send_signal(signal.SIGSTOP)
+def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(world, leave):
+    deployment = world()
+    deployment.program.process.send_signal(signal.SIGSTOP)
     for n in range(20):
-        c = Client(w.program.address)
-        c.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000\r\n" % n)
-        leave(c)
-    w.program.process.send_signal(signal.SIGCONT)
-    until(lambda: w.program.counts().get("connections", 0) >= 21, "the connections")
-    with w.client() as c:
-        assert c.open().startswith(b"UP ")
-    assert sum(len(r.first_lines) for r in w.runners) == 1
-
-
-def test_a_client_that_ends_its_sending_before_its_up_has_gone(world):
-    w = world()
-    for r in w.runners:
-        r.held = True
-    with w.client() as c:
-        c.send(b"OPEN 1 k c=test-run,d=3000\r\n")
-        held = until(lambda: [r for r in w.runners if r.first_lines], "the attempt")[0]
+        client = Client(deployment.program.address)
+        client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000\r\n" % n)
+        leave(client)
+    deployment.program.process.send_signal(signal.SIGCONT)
+    until(lambda: deployment.program.counts().get("connections", 0) >= 21, "the connections")
+    with deployment.client() as client:
+        assert client.open().startswith(b"UP ")
+    assert sum(len(server.first_lines) for server in deployment.runners) == 1
+
+
+def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(world):
+    deployment = world()
+    for server in deployment.runners:
+        server.held = True
+    with deployment.client() as client:
+        client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
+        held = until(lambda: [server for server in deployment.runners if server.first_lines], "the attempt")[0]
         connection, _ = held.offered()
-        c.sock.shutdown(socket.SHUT_WR)
-        assert connection.recv(100) == b""  # the attempt is given up
-        assert c.rest() == b""
-    assert sum(len(r.first_lines) for r in w.runners) == 1
+        client.sock.shutdown(socket.SHUT_WR)
+        assert connection.recv(100) == b""  # the attempt is cancelled
+        assert client.rest() == b""
+    assert sum(len(server.first_lines) for server in deployment.runners) == 1
