--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,7 @@
-"""Every event at every stage of a request: one complete response or a MOVE between two lines, and no leftovers."""
+"""Every event at every stage of a request: the client gets one complete response, or a MOVE between two lines.
+
+No request, connection or descriptor is left over.
+"""
 
 import re
 
@@ -14,228 +17,267 @@
 from aspensaddle.frontends.line_protocol.request_state import RequestState
 from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 
-ANSWER = re.compile(rb"(UP s-0|BUSY( \d+)?|ERR)\r\n")
-PASSED = re.compile(rb"UP s-0\r\n(M 1\r\n)*(MOVE\r\n)?")
+FINAL_RESPONSE = re.compile(rb"(UP s-0|BUSY( \d+)?|ERR)\r\n")
+RELAYED_LINES = re.compile(rb"UP s-0\r\n(M 1\r\n)*(MOVE\r\n)?")
+
 
+class RequestAtStage:
+    """A request that a stage function brings to its stage.
 
-class Place:
-    """A client at one stage, and the server's side of its connection if there is one."""
+    Attributes:
+        client: The client.
+        server_connection: The stand-in server's side of the connection, once an attempt was sent.
+        gates: Gates that hold the request at its stage.
+    """
 
-    def __init__(self, f, monkeypatch):
-        self.f, self.gates, self.peer, self.runner = f, [], None, None
-        self.monkeypatch, self.first = monkeypatch, b""
+    def __init__(self, harness, monkeypatch):
+        self.harness, self.gates, self.client, self.server_connection = harness, [], None, None
+        self.monkeypatch, self.first_line = monkeypatch, b""
 
-    def gate(self, name):
+    def add_gate(self, path):
+        """Hold the calls of a method, given as `connector.METHOD` or `handler.METHOD`."""
         gate = Gate()
-        owner, _, attribute = name.rpartition(".")
-        target = {"connector": self.f.connector, "handler": self.f.frontend.handler}[owner]
+        owner, _, attribute = path.rpartition(".")
+        target = {"connector": self.harness.connector, "handler": self.harness.frontend.handler}[owner]
         self.monkeypatch.setattr(target, attribute, gate.hold(getattr(target, attribute)))
         self.gates.append(gate)
         return gate
 
-    async def offered(self):
-        self.runner, self.first = await trio.to_thread.run_sync(self.f.servers[0].offered)
-        self.f.servers[0].held = False  # a further attempt is served
+    async def accept_attempt(self):
+        self.server_connection, self.first_line = await trio.to_thread.run_sync(self.harness.servers[0].offered)
+        self.harness.servers[0].held = False  # the server answers further attempts
 
 
-async def resting(p):
-    p.peer = await p.f.connect()
-    await p.f.wait_until(lambda: p.f.frontend.slots.open)
+async def silent(request):
+    request.client = await request.harness.connect()
+    await request.harness.wait_until(lambda: request.harness.frontend.slots.open)
 
 
-async def half_open(p):
-    await resting(p)
-    await p.peer.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=tes")
+async def partial_open(request):
+    await silent(request)
+    await request.client.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=tes")
 
 
-async def connecting(p):
-    gate = p.gate("connector._connect")
-    p.peer = await p.f.send_open()
+async def connecting(request):
+    gate = request.add_gate("connector._connect")
+    request.client = await request.harness.send_open()
     await gate.reached.wait()
-    p.f.servers[0].held = False
+    request.harness.servers[0].held = False
 
 
-async def offered(p):
-    p.peer = await p.f.send_open()
-    await p.offered()
+async def attempt_sent(request):
+    request.client = await request.harness.send_open()
+    await request.accept_attempt()
 
 
-async def half_up(p):
-    await offered(p)
-    p.runner.sendall(b"UP s-")
+async def partial_up(request):
+    await attempt_sent(request)
+    request.server_connection.sendall(b"UP s-")
 
 
-async def standing(p):
-    await offered(p)
-    p.runner.sendall(b"UP s-0\r\n")
-    await p.peer.read_line()
+async def established(request):
+    await attempt_sent(request)
+    request.server_connection.sendall(b"UP s-0\r\n")
+    await request.client.read_line()
 
 
-async def half_line(p):
-    await standing(p)
-    p.runner.sendall(b"M 1\r\nM")
-    await p.f.wait_until(lambda: p.f.counters["lines_received_from_servers"] == 2)
+async def partial_server_line(request):
+    await established(request)
+    request.server_connection.sendall(b"M 1\r\nM")
+    await request.harness.wait_until(lambda: request.harness.counters["lines_received_from_servers"] == 2)
 
 
-async def line_out(p):
-    await standing(p)
-    await p.peer.send(b"M 1\r\n")
-    await p.f.wait_until(lambda: p.f.counters["lines_received_from_clients"] == 1)
+async def echo_awaited(request):
+    await established(request)
+    await request.client.send(b"M 1\r\n")
+    await request.harness.wait_until(lambda: request.harness.counters["lines_received_from_clients"] == 1)
 
 
-async def answering(p):
-    gate = p.gate("handler._finish")
-    await offered(p)
-    p.runner.sendall(b"BUSY\r\n")
-    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))  # no further attempt
+async def response_held(request):
+    gate = request.add_gate("handler._finish")
+    await attempt_sent(request)
+    request.server_connection.sendall(b"BUSY\r\n")
+    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))  # no further attempt
     await gate.reached.wait()
 
 
-async def lingering(p):
-    await offered(p)
-    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))
-    p.runner.sendall(b"BUSY\r\n")
-    await p.peer.read_line()
+async def lingering(request):
+    await attempt_sent(request)
+    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))
+    request.server_connection.sendall(b"BUSY\r\n")
+    await request.client.read_line()
 
 
-PLACES = [resting, half_open, connecting, offered, half_up, standing, half_line, line_out, answering, lingering]
-BEFORE = (resting, half_open)
-STANDING = (standing, half_line, line_out)
+STAGES = [
+    silent,
+    partial_open,
+    connecting,
+    attempt_sent,
+    partial_up,
+    established,
+    partial_server_line,
+    echo_awaited,
+    response_held,
+    lingering,
+]
+STAGES_BEFORE_OPEN = (silent, partial_open)
+ESTABLISHED_STAGES = (established, partial_server_line, echo_awaited)
 
 
-async def sigterm(p):
-    p.f.nursery.start_soon(p.f.terminate)
-    await p.f.wait_until(lambda: not p.f.frontend.accepting_requests)
+async def sigterm(request):
+    request.harness.nursery.start_soon(request.harness.terminate)
+    await request.harness.wait_until(lambda: not request.harness.frontend.accepting_requests)
 
 
-async def sighup(p):
-    p.f.reload(connect_timeout=1.0, max_attempts=1)
+async def sighup(request):
+    request.harness.reload(connect_timeout=1.0, max_attempts=1)
 
 
-async def client_ends(p):
-    await p.peer.stream.send_eof()
-    if p.runner and p.f.frontend.open_connections:
-        assert await trio.to_thread.run_sync(read_out, p.runner)  # the end is passed on, and the runner ends too
-        p.runner.shutdown(1)
+async def client_ends_sending(request):
+    await request.client.stream.send_eof()
+    if request.server_connection and request.harness.frontend.open_connections:
+        assert await trio.to_thread.run_sync(
+            read_to_end, request.server_connection
+        )  # the end is passed on to the server, which ends its sending too
+        request.server_connection.shutdown(1)
 
 
-def read_out(connection):
-    """Whether the other side ends its sending."""
+def read_to_end(connection):
+    """Read until the other side ends its sending; return True."""
     connection.settimeout(WAIT)
     while connection.recv(4096):
         pass
     return True
 
 
-async def client_resets(p):
-    p.peer.reset()
+async def client_resets(request):
+    request.client.reset()
 
 
-async def runner_ends(p):
-    if p.runner:
-        p.runner.shutdown(1)
+async def server_ends_sending(request):
+    if request.server_connection:
+        request.server_connection.shutdown(1)
 
 
-async def runner_resets(p):
-    if p.runner:
-        reset(p.runner)
+async def server_resets(request):
+    if request.server_connection:
+        reset(request.server_connection)
 
 
-async def drain(p):
-    p.f.change_endpoints(p.f.servers[0].target(state="leaving"))
+async def server_drains(request):
+    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))
 
 
-async def deadline(p):
-    """The time of the request, or of the silence on its connection, is over."""
-    for state in list(p.f.frontend.pending_requests.values()):
+async def deadline_passes(request):
+    """The deadline of the attempt, or the silence timeout of the open connection, passes."""
+    for state in list(request.harness.frontend.pending_requests.values()):
         state.attempt_scope.deadline = trio.current_time()
-    for state in list(p.f.frontend.open_connections.values()):
+    for state in list(request.harness.frontend.open_connections.values()):
         state.relay.check_silence(trio.current_time() + 5)
 
 
-EVENTS = [sigterm, sighup, client_ends, client_resets, runner_ends, runner_resets, drain, deadline]
-
-
-def cross(place, event, monkeypatch):
-    """Cause the event at the stage, let everything continue, and check what the client got."""
-    runner = Runner("s-0")
-    runner.held = True
-    f = FrontendHarness([runner], connect_timeout=2.0)
-
-    async def script(f):
-        p = Place(f, monkeypatch)
-        await place(p)
-        offers = len(runner.first_lines)
-        await event(p)
-        for gate in p.gates:
+EVENTS = [
+    sigterm,
+    sighup,
+    client_ends_sending,
+    client_resets,
+    server_ends_sending,
+    server_resets,
+    server_drains,
+    deadline_passes,
+]
+
+
+def run_event_at_stage(stage, event, monkeypatch):
+    """Cause an event at a stage, let everything continue, and check what the client received."""
+    server = Runner("s-0")
+    server.held = True
+    harness = FrontendHarness([server], connect_timeout=2.0)
+
+    async def script(harness):
+        request = RequestAtStage(harness, monkeypatch)
+        await stage(request)
+        attempts_before = len(server.first_lines)
+        await event(request)
+        for gate in request.gates:
             gate.opened.set()
-        left = event in (client_ends, client_resets)
-        if not left:
-            if place in BEFORE and event is not sigterm:
-                await p.peer.stream.send_eof()  # it goes by itself
-            elif place in (offered, half_up) and event in (sigterm, sighup, drain):
-                p.runner.sendall(b"UP s-0\r\n" if place is offered else b"0\r\n")
-            if event in (sighup, drain) or event is deadline and place in (standing, half_line):
-                if place in (connecting, offered, half_up):
-                    await p.peer.read_line()
-                if place in (connecting, offered, half_up, *STANDING):
-                    for state in f.frontend.open_connections.values():
-                        state.migrate()  # it stands still: have it end
-            elif event is runner_resets and place in STANDING:
+        client_left = event in (client_ends_sending, client_resets)
+        if not client_left:
+            if stage in STAGES_BEFORE_OPEN and event is not sigterm:
+                await request.client.stream.send_eof()  # a client without a request disconnects
+            elif stage in (attempt_sent, partial_up) and event in (sigterm, sighup, server_drains):
+                request.server_connection.sendall(b"UP s-0\r\n" if stage is attempt_sent else b"0\r\n")
+            if (
+                event in (sighup, server_drains)
+                or event is deadline_passes
+                and stage in (established, partial_server_line)
+            ):
+                if stage in (connecting, attempt_sent, partial_up):
+                    await request.client.read_line()
+                if stage in (connecting, attempt_sent, partial_up, *ESTABLISHED_STAGES):
+                    for state in harness.frontend.open_connections.values():
+                        state.migrate()  # an idle connection would not end by itself
+            elif event is server_resets and stage in ESTABLISHED_STAGES:
                 pass
-            elif place in (connecting, offered, half_up) and event in (runner_ends, runner_resets, deadline):
-                await p.peer.read_line()
-                for state in f.frontend.open_connections.values():
+            elif stage in (connecting, attempt_sent, partial_up) and event in (
+                server_ends_sending,
+                server_resets,
+                deadline_passes,
+            ):
+                await request.client.read_line()
+                for state in harness.frontend.open_connections.values():
                     state.migrate()
         if event is not client_resets:
-            await p.peer.read_to_end()
-            p.peer.stream.socket.close()
-        await f.wait_until_all_closed()
-        check(p, place, event, left, offers)
-
-    def check(p, place, event, left, offers):
-        assert all(len(re.findall(rb"d=\d+", line)) == 1 for line in runner.first_lines)
-        if left:
-            assert len(runner.first_lines) == offers, "nothing is sent on for one who has left"
+            await request.client.read_to_end()
+            request.client.stream.socket.close()
+        await harness.wait_until_all_closed()
+        check_received(request, stage, event, client_left, attempts_before)
+
+    def check_received(request, stage, event, client_left, attempts_before):
+        assert all(len(re.findall(rb"d=\d+", line)) == 1 for line in server.first_lines)
+        if client_left:
+            assert len(server.first_lines) == attempts_before, "no attempt is made for a client that has left"
             return
-        got = p.peer.received
-        passed_on = event is runner_resets and place in STANDING
-        assert p.peer.was_reset == passed_on, (got, p.peer.was_reset)
-        if place in BEFORE:
-            assert got == b"" or event is sigterm and re.fullmatch(rb"BUSY \d+\r\n", got), got
-        elif got.startswith(b"UP"):
-            left_by_runner = place is half_line and event in (runner_ends, runner_resets)
-            tail = b"M" if left_by_runner else b""  # what a runner leaves is passed on
-            assert got.endswith(tail) and PASSED.fullmatch(got.removesuffix(tail) if tail else got), got
+        received = request.client.received
+        reset_passed_on = event is server_resets and stage in ESTABLISHED_STAGES
+        assert request.client.was_reset == reset_passed_on, (received, request.client.was_reset)
+        if stage in STAGES_BEFORE_OPEN:
+            assert received == b"" or event is sigterm and re.fullmatch(rb"BUSY \d+\r\n", received), received
+        elif received.startswith(b"UP"):
+            partial_line_sent = stage is partial_server_line and event in (server_ends_sending, server_resets)
+            tail = b"M" if partial_line_sent else b""  # an incomplete last line of a server is passed on
+            assert received.endswith(tail) and RELAYED_LINES.fullmatch(
+                received.removesuffix(tail) if tail else received
+            ), received
             if event is sigterm:
-                assert got.endswith(b"MOVE\r\n"), got
+                assert received.endswith(b"MOVE\r\n"), received
         else:
-            assert ANSWER.fullmatch(got), got
+            assert FINAL_RESPONSE.fullmatch(received), received
 
-    f.run(script)
-    assert f.leaked_descriptors <= 0
+    harness.run(script)
+    assert harness.leaked_descriptors <= 0
     attempts = {}
-    for line in runner.first_lines:
+    for line in server.first_lines:
         attempts[line.split()[1]] = attempts.get(line.split()[1], 0) + 1
-    again = event in (runner_ends, runner_resets, deadline)  # the first attempt has failed
-    assert all(count <= 1 + again for count in attempts.values()), runner.first_lines
+    retry_expected = event in (server_ends_sending, server_resets, deadline_passes)  # the first attempt failed
+    assert all(count <= 1 + retry_expected for count in attempts.values()), server.first_lines
 
 
-@pytest.mark.parametrize("event", EVENTS, ids=lambda e: e.__name__)
-@pytest.mark.parametrize("place", PLACES, ids=lambda p: p.__name__)
-def test_every_event_in_every_place(place, event, monkeypatch):
-    cross(place, event, monkeypatch)
+@pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.__name__)
+@pytest.mark.parametrize("stage", STAGES, ids=lambda stage: stage.__name__)
+def test_any_event_at_any_stage_gives_the_client_one_complete_response(stage, event, monkeypatch):
+    run_event_at_stage(stage, event, monkeypatch)
 
 
-def test_a_cancel_meets_the_attempt_that_it_names_and_no_other():
-    """Also one that comes before the attempt has begun, or after the next was decided."""
+def test_cancellation_stops_only_the_attempt_that_it_names():
+    """It may arrive before its attempt has begun, or after the next one was decided."""
 
     async def main():
         state = RequestState(None)
         state.act(StartAttempt("r", 1, 1.0))
-        first = state.attempt_scope
+        first_scope = state.attempt_scope
         state.act(CancelAttempt("r", 0))
-        assert first.cancel_called
+        assert first_scope.cancel_called
         state.act(StartAttempt("r", 2, 1.0))
         state.act(CancelAttempt("r", 0))
         assert not state.attempt_scope.cancel_called
@@ -245,67 +287,67 @@
     trio.run(main)
 
 
-async def _nothing(*args):
+async def _do_nothing(*args):
     pass
 
 
-async def _cut_short(frontend, listener, phases, nursery):
+async def _shut_down_at_once(frontend, listener, phases, nursery):
     frontend.accepting_requests = False
     await trio.sleep(0.01)
     nursery.cancel_scope.cancel()
 
 
-async def _twice(attempt, connector, server, first, *more):
-    await attempt(connector, server, first, *more)
-    return await attempt(connector, server, first, *more)
+async def _attempt_twice(attempt, connector, server, first_line, *arguments):
+    await attempt(connector, server, first_line, *arguments)
+    return await attempt(connector, server, first_line, *arguments)
 
 
-def ends_at_once(monkeypatch):
-    monkeypatch.setattr("frontend_harness.shut_down", _cut_short)
+def shutdown_ends_at_once(monkeypatch):
+    monkeypatch.setattr("frontend_harness.shut_down", _shut_down_at_once)
 
 
-def says_nothing(monkeypatch):
-    monkeypatch.setattr(ConnectionHandler, "_finish", _nothing)
+def response_not_sent(monkeypatch):
+    monkeypatch.setattr(ConnectionHandler, "_finish", _do_nothing)
 
 
-def moves_nobody(monkeypatch):
+def migration_sends_no_move(monkeypatch):
     monkeypatch.setattr(Relay, "stop", lambda relay: relay._scope.cancel())
 
 
-def sees_nobody_leave(monkeypatch):
+def departure_not_noticed(monkeypatch):
     monkeypatch.setattr(RequestState, "client_is_connected", lambda state: True)
     monkeypatch.setattr(RequestState, "watch", lambda state: trio.sleep_forever())
 
 
-def says_it_twice(monkeypatch):
-    say = Link.send
-    monkeypatch.setattr(Link, "send", lambda link, data: say(link, data * 2 if data[:2] == b"BU" else data))
+def response_sent_twice(monkeypatch):
+    send = Link.send
+    monkeypatch.setattr(Link, "send", lambda link, data: send(link, data * 2 if data[:2] == b"BU" else data))
 
 
-def keeps_descriptors(monkeypatch):
-    kept = []
-    monkeypatch.setattr(Link, "close", lambda link: kept.append(link) or link.stream.socket.shutdown(2))
+def descriptors_not_closed(monkeypatch):
+    unclosed_links = []
+    monkeypatch.setattr(Link, "close", lambda link: unclosed_links.append(link) or link.stream.socket.shutdown(2))
 
 
-def offers_again(monkeypatch):
+def attempt_made_twice(monkeypatch):
     attempt = ServerConnector.attempt
-    monkeypatch.setattr(ServerConnector, "attempt", lambda *args: _twice(attempt, *args))
+    monkeypatch.setattr(ServerConnector, "attempt", lambda *args: _attempt_twice(attempt, *args))
 
 
 @pytest.mark.parametrize(
-    ("fault", "place", "event"),
+    ("fault", "stage", "event"),
     [
-        (ends_at_once, offered, sigterm),
-        (ends_at_once, standing, sigterm),
-        (says_nothing, answering, sighup),
-        (moves_nobody, standing, sigterm),
-        (sees_nobody_leave, connecting, client_ends),
-        (says_it_twice, answering, drain),
-        (keeps_descriptors, lingering, client_ends),
-        (offers_again, offered, sighup),
+        (shutdown_ends_at_once, attempt_sent, sigterm),
+        (shutdown_ends_at_once, established, sigterm),
+        (response_not_sent, response_held, sighup),
+        (migration_sends_no_move, established, sigterm),
+        (departure_not_noticed, connecting, client_ends_sending),
+        (response_sent_twice, response_held, server_drains),
+        (descriptors_not_closed, lingering, client_ends_sending),
+        (attempt_made_twice, attempt_sent, sighup),
     ],
 )
-def test_a_planted_fault_is_found(fault, place, event, monkeypatch):
+def test_injected_fault_is_detected(fault, stage, event, monkeypatch):
     fault(monkeypatch)
-    with pytest.raises((AssertionError, BaseExceptionGroup)):  # also of a check in a nursery
-        cross(place, event, monkeypatch)
+    with pytest.raises((AssertionError, BaseExceptionGroup)):  # a group if a check failed in a nursery
+        run_event_at_stage(stage, event, monkeypatch)
