--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Clients that are silent, slow or violate the protocol: their responses, and the shares of descriptors."""
+"""Clients that are silent, slow or violate the protocol: their responses, and how descriptors are divided."""
 
 import os
 import time
@@ -30,28 +30,28 @@
     made = []
 
     def make(**config):
-        runner = Runner("s-0")
-        discovery = Discovery([runner.target()])
-        made.extend((runner, discovery, Program(tmp_path, discovery.address, [runner.target()], **config)))
-        return SimpleNamespace(runner=runner, program=made[-1], client=lambda: Client(made[-1].address))
+        server = Runner("s-0")
+        discovery = Discovery([server.target()])
+        made.extend((server, discovery, Program(tmp_path, discovery.address, [server.target()], **config)))
+        return SimpleNamespace(server=server, program=made[-1], client=lambda: Client(made[-1].address))
 
     yield make
     for part in reversed(made):
         (part.kill if isinstance(part, Program) else part.close)()
 
 
-def test_hundreds_who_say_nothing_keep_nobody_out(world):
-    w = world(limits={"sockets": 128})
-    silent = [w.client() for _ in range(300)]
-    with w.client() as c:
-        assert c.open().startswith(b"UP ")
-        assert c.echo(b"M 1") == b"M 1\r\n"
-    answers = [c.line() for c in silent]  # the oldest at once, the rest when their time is over
-    assert {b"BUSY", b"ERR"} == {a.split()[0] for a in answers}
-    assert all(c.line() == b"" for c in silent)
-    for c in silent:
-        c.close()
-    counts = w.program.counts()
+def test_hundreds_of_silent_clients_do_not_keep_out_a_request(world):
+    deployment = world(limits={"sockets": 128})
+    silent = [deployment.client() for _ in range(300)]
+    with deployment.client() as client:
+        assert client.open().startswith(b"UP ")
+        assert client.echo(b"M 1") == b"M 1\r\n"
+    responses = [client.line() for client in silent]  # the oldest at once, the others after their time limit
+    assert {b"BUSY", b"ERR"} == {response.split()[0] for response in responses}
+    assert all(client.line() == b"" for client in silent)
+    for client in silent:
+        client.close()
+    counts = deployment.program.counts()
     assert (
         counts["connections_evicted"] >= 200
         and "internal_errors" not in counts
@@ -59,260 +59,267 @@
     )
 
 
-def test_one_time_for_the_whole_stay_before_an_open(world):
-    """A PING must not restart the time limit, else a connection could be held for ever."""
-    w = world()
-    with w.client() as c:
-        start = time.monotonic()
-        answers = [c.echo(b"PING")]
-        while answers[-1] == b"PONG\r\n":
+def test_ping_does_not_restart_the_time_limit_of_the_first_line(world):
+    """Otherwise a client could hold its connection for ever."""
+    deployment = world()
+    with deployment.client() as client:
+        started_at = time.monotonic()
+        responses = [client.echo(b"PING")]
+        while responses[-1] == b"PONG\r\n":
             time.sleep(0.3)
             try:
-                answers.append(c.echo(b"PING"))
-            except OSError:  # closed meanwhile
+                responses.append(client.echo(b"PING"))
+            except OSError:  # the connection was closed
                 break
-            assert time.monotonic() - start < WAIT
-        assert len(answers) < 16
-
-
-def test_pings_without_end_are_an_error(world):
-    w = world()
-    with w.client() as c:
-        c.send(b"PING\r\n" * 100)
-        assert [c.line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
-
-
-@pytest.mark.parametrize("more", [b"OPEN b k c=test-run,d=900\r\n" * 100, b"PING\r\n", b"z" * 5000])
-def test_who_does_not_wait_for_an_answer_gets_an_error_and_no_runner(world, more):
-    w = world()
-    w.runner.answer = b""  # so that the attempt is out until it is given up
-    with w.client() as c:
-        c.send(b"OPEN a k c=test-run,d=3000\r\n" + more)
-        assert c.line() == b"ERR\r\n"
-    with w.client() as c:
-        c.send(b"OPEN b k c=test-run,d=3000\r\n")
-        until(lambda: any(b" b " in line for line in w.runner.first_lines), "the attempt")
-        c.send(more)
-        assert c.line() == b"ERR\r\n"
-    assert "connections_established" not in w.program.counts()
-
-
-def test_an_early_line_is_kept_for_the_runner(world):
-    w = world()
-    with w.client() as c:
-        c.send(b"OPEN a k c=test-run,d=3000\r\nM 1\r\n")
-        assert c.line() == b"UP s-0\r\n" and c.line() == b"M 1\r\n"
-
-
-def test_the_id_of_another_s_request_harms_nobody(world):
-    w = world()
-    with w.client() as good:
-        assert good.open().startswith(b"UP ")
-        line = w.runner.first_lines[0]
+            assert time.monotonic() - started_at < WAIT
+        assert len(responses) < 16
+
+
+def test_more_than_16_pings_before_an_open_get_an_error(world):
+    deployment = world()
+    with deployment.client() as client:
+        client.send(b"PING\r\n" * 100)
+        assert [client.line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
+
+
+@pytest.mark.parametrize("extra", [b"OPEN b k c=test-run,d=900\r\n" * 100, b"PING\r\n", b"z" * 5000])
+def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(world, extra):
+    deployment = world()
+    deployment.server.answer = b""  # the server is silent, so the attempt lasts until it is cancelled
+    with deployment.client() as client:
+        client.send(b"OPEN a k c=test-run,d=3000\r\n" + extra)
+        assert client.line() == b"ERR\r\n"
+    with deployment.client() as client:
+        client.send(b"OPEN b k c=test-run,d=3000\r\n")
+        until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
+        client.send(extra)
+        assert client.line() == b"ERR\r\n"
+    assert "connections_established" not in deployment.program.counts()
+
+
+def test_line_sent_together_with_the_open_is_relayed_once_established(world):
+    deployment = world()
+    with deployment.client() as client:
+        client.send(b"OPEN a k c=test-run,d=3000\r\nM 1\r\n")
+        assert client.line() == b"UP s-0\r\n" and client.line() == b"M 1\r\n"
+
+
+def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(world):
+    deployment = world()
+    with deployment.client() as other_client:
+        assert other_client.open().startswith(b"UP ")
+        line = deployment.server.first_lines[0]
         for _ in range(3):
-            with w.client() as bad:
-                bad.send(line)
-                assert bad.line() == b"ERR\r\n"
-        assert good.echo(b"M 1") == b"M 1\r\n"
-    assert len(w.runner.first_lines) == 1
+            with deployment.client() as second_client:
+                second_client.send(line)
+                assert second_client.line() == b"ERR\r\n"
+        assert other_client.echo(b"M 1") == b"M 1\r\n"
+    assert len(deployment.server.first_lines) == 1
 
 
-def test_who_comes_again_at_once_neither_fills_the_log_nor_holds_up_the_end(world):
-    w = world()
+def test_repeated_invalid_requests_do_not_fill_the_log_nor_delay_the_shutdown(world):
+    deployment = world()
     for _ in range(50):
-        with w.client() as c:
-            c.send(b"frob\r\n")
-            assert c.line() == b"ERR\r\n"
-    assert w.program.counts()["invalid_requests"] == 50
-    assert len(w.program.events("invalid_request")) < 25
-    silent = w.client()
-    assert w.program.terminate() == 0
+        with deployment.client() as client:
+            client.send(b"frob\r\n")
+            assert client.line() == b"ERR\r\n"
+    assert deployment.program.counts()["invalid_requests"] == 50
+    assert len(deployment.program.events("invalid_request")) < 25
+    silent = deployment.client()
+    assert deployment.program.terminate() == 0
     silent.close()
 
 
-def test_a_line_without_end_is_not_read_to_its_end():
+def test_lingering_close_stops_reading_from_an_endless_line_at_its_limit():
     async def main():
         listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
         client = await trio.open_tcp_stream(*listener.socket.getsockname())
         link = Link(await listener.accept())
-        sent = 0
+        bytes_sent = 0
 
         async def flood():
-            nonlocal sent
+            nonlocal bytes_sent
             try:
                 while True:
                     await client.send_all(b"k" * 65536)
-                    sent += 65536
+                    bytes_sent += 65536
             except trio.BrokenResourceError:
                 pass
 
         with trio.fail_after(WAIT):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood)
-                read = 0
+                bytes_read = 0
                 receive = link.receive
 
-                async def counted():
-                    nonlocal read
-                    more = await receive()
-                    read += link.buffered
-                    return more
+                async def count_received():
+                    nonlocal bytes_read
+                    has_more = await receive()
+                    bytes_read += link.buffered
+                    return has_more
 
-                link.receive = counted
+                link.receive = count_received
                 await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + WAIT))
-                assert MAX_LINGER_BYTES <= read < 2 * MAX_LINGER_BYTES
+                assert MAX_LINGER_BYTES <= bytes_read < 2 * MAX_LINGER_BYTES
         await listener.aclose()
 
     trio.run(main)
 
 
-def test_the_oldest_goes_first_and_one_whose_answer_is_to_come_never():
+def test_oldest_waiting_connection_is_evicted_first_and_an_active_one_never():
     async def main():
         slots = ConnectionSlots(Counters(), 128)
         with ExitStack() as stack:
             for _ in range(slots.max_active - 1):
                 slots.activate(stack.enter_context(slots.hold(None)))
-            most = 128 - RESERVED_DESCRIPTORS - slots.descriptors
-            assert most > slots.max_waiting
-            held = [stack.enter_context(slots.hold(None)) for _ in range(most)]
-            slots.activate(held[0])  # an answer is owed from here on, and a descriptor to its server
-            slots.linger(held[3])
+            waiting_count = 128 - RESERVED_DESCRIPTORS - slots.descriptors
+            assert waiting_count > slots.max_waiting
+            held_slots = [stack.enter_context(slots.hold(None)) for _ in range(waiting_count)]
+            slots.activate(held_slots[0])  # it is owed a response now, and a descriptor for its server
+            slots.linger(held_slots[3])
             for _ in range(4):
-                held.append(stack.enter_context(slots.hold(None)))
-            # One descriptor for the server of 0, four for the new ones: the oldest go, by their own tasks.
-            assert [i for i, s in enumerate(held) if s.evicted] == [1, 2, 4, 5, 6]
+                held_slots.append(stack.enter_context(slots.hold(None)))
+            # One for the server of slot 0 and four for the new connections: the oldest slots are evicted.
+            assert [i for i, slot in enumerate(held_slots) if slot.evicted] == [1, 2, 4, 5, 6]
             assert (
-                all(held[i].first_line_scope.cancel_called for i in (1, 2, 4, 5, 6))
-                and not held[0].first_line_scope.cancel_called
+                all(held_slots[i].first_line_scope.cancel_called for i in (1, 2, 4, 5, 6))
+                and not held_slots[0].first_line_scope.cancel_called
             )
-            for s in held[7 : 7 + slots.max_lingering]:
-                slots.linger(s)
-            assert [i for i, s in enumerate(held) if s.linger_scope.cancel_called] == [3]
+            for slot in held_slots[7 : 7 + slots.max_lingering]:
+                slots.linger(slot)
+            assert [i for i, slot in enumerate(held_slots) if slot.linger_scope.cancel_called] == [3]
             slots.evict_all_waiting()
             slots.abort_all_lingering()
-            assert not held[0].linger_scope.cancel_called and held[0].stage is ConnectionStage.ACTIVE
-            assert all(s.evicted or s.linger_scope.cancel_called for s in held[1:])
-            late = stack.enter_context(slots.hold(None))  # after that nobody waits any more
-            assert late.evicted
+            assert not held_slots[0].linger_scope.cancel_called and held_slots[0].stage is ConnectionStage.ACTIVE
+            assert all(slot.evicted or slot.linger_scope.cancel_called for slot in held_slots[1:])
+            new_slot = stack.enter_context(slots.hold(None))  # from now on, new connections are evicted at once
+            assert new_slot.evicted
         assert slots.open == 0
 
     trio.run(main)
 
 
-def test_nobody_is_evicted_while_descriptors_are_free():
-    """Guards against an eviction beyond a fixed share while the descriptors of active connections stand empty."""
+def test_no_connection_is_evicted_while_descriptors_are_free():
+    """Guards against evictions beyond a fixed share while descriptors for active connections are unused."""
 
     async def main():
         slots = ConnectionSlots(Counters(), 928)
         with ExitStack() as stack:
-            held = [stack.enter_context(slots.hold(None)) for _ in range(272 + 200)]
-            for slot in held[200:]:
+            held_slots = [stack.enter_context(slots.hold(None)) for _ in range(272 + 200)]
+            for slot in held_slots[200:]:
                 slots.activate(slot)
-            assert not any(slot.evicted for slot in held)
-            # Until all are used: then the oldest that is silent makes room for a newcomer, and is closed first.
+            assert not any(slot.evicted for slot in held_slots)
+            # Once all are in use, the oldest silent connection is evicted for a new one, and is closed first.
             while slots.descriptors < 928 - RESERVED_DESCRIPTORS:
-                held.append(stack.enter_context(slots.hold(None)))
-            assert not any(slot.evicted for slot in held)
+                held_slots.append(stack.enter_context(slots.hold(None)))
+            assert not any(slot.evicted for slot in held_slots)
             stack.enter_context(slots.hold(None))
-            assert [i for i, slot in enumerate(held) if slot.evicted] == [0]
-            slots.linger(held[0])
-            assert held[0].linger_scope.cancel_called
+            assert [i for i, slot in enumerate(held_slots) if slot.evicted] == [0]
+            slots.linger(held_slots[0])
+            assert held_slots[0].linger_scope.cancel_called
 
     trio.run(main)
 
 
-def test_a_connection_whose_bytes_have_arrived_is_read_before_it_is_evicted():
-    """Guards against a BUSY for a client whose line was in the kernel when its connection was evicted."""
-    runner = Runner("s-0")
+def test_eviction_of_a_connection_whose_bytes_have_arrived_is_revoked():
+    """Guards against BUSY for a client whose line was in the kernel when its connection was evicted."""
+    server = Runner("s-0")
 
-    async def script(f):
-        whole, half, silent = [await f.connect() for _ in range(3)]
-        await f.wait_until(lambda: f.frontend.slots.count(ConnectionStage.WAITING) == 3)
+    async def script(harness):
+        complete, partial, silent = [await harness.connect() for _ in range(3)]
+        await harness.wait_until(lambda: harness.frontend.slots.count(ConnectionStage.WAITING) == 3)
         line = b"OPEN 000000000000000%d 7f3a9c21e0b4d655 c=test-run,d=3000\r\n"
-        # No pass of the event loop lies between the arrival and the eviction.
-        os.write(whole.stream.socket.fileno(), line % 1)
-        os.write(half.stream.socket.fileno(), (line % 2)[:20])
+        # There is no event loop pass between the arrival and the eviction.
+        os.write(complete.stream.socket.fileno(), line % 1)
+        os.write(partial.stream.socket.fileno(), (line % 2)[:20])
         for _ in range(3):
-            f.frontend.slots.evict_oldest()
-        assert await whole.read_line() == b"UP s-0\r\n"
-        await half.send((line % 2)[20:])
-        assert await half.read_line() == b"UP s-0\r\n"
+            harness.frontend.slots.evict_oldest()
+        assert await complete.read_line() == b"UP s-0\r\n"
+        await partial.send((line % 2)[20:])
+        assert await partial.read_line() == b"UP s-0\r\n"
         assert (await silent.read_to_end()).startswith(b"BUSY")
-        for peer in (whole, half, silent):
-            peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        for client in (complete, partial, silent):
+            client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    FrontendHarness([runner]).run(script)
+    FrontendHarness([server]).run(script)
 
 
-def send_lines(clients, manner):
-    """The first lines of clients that return, at once, late by up to a second or in pieces; seeded."""
-    lines = {c: b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000,at=s-0\r\n" % n for n, c in enumerate(clients)}
-    if manner == "at once":
+def send_open_lines(clients, timing):
+    """Send the OPENs of reconnecting clients at once, up to a second late or in pieces; times are seeded."""
+    lines = {
+        client: b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000,at=s-0\r\n" % n for n, client in enumerate(clients)
+    }
+    if timing == "at once":
         for client, line in lines.items():
             client.send(line)
         return
-    draw, due = Random(7), []
+    random, due = Random(7), []
     for client, line in lines.items():
-        cut = draw.randrange(1, len(line) - 1) if manner == "in pieces" else 0
-        moments = sorted(draw.uniform(0.0, 1.0) for _ in range(2))
-        due += [(moments[0], id(client), client, line[:cut]), (moments[1], id(client), client, line[cut:])]
-    start = time.monotonic()
-    for moment, _, client, part in sorted(due):
-        time.sleep(max(0.0, start + moment - time.monotonic()))
+        cut = random.randrange(1, len(line) - 1) if timing == "in pieces" else 0
+        send_times = sorted(random.uniform(0.0, 1.0) for _ in range(2))
+        due += [(send_times[0], id(client), client, line[:cut]), (send_times[1], id(client), client, line[cut:])]
+    started_at = time.monotonic()
+    for send_time, _, client, part in sorted(due):
+        time.sleep(max(0.0, started_at + send_time - time.monotonic()))
         client.send(part)
 
 
-@pytest.mark.parametrize("manner", ["at once", "late", "in pieces"])
+@pytest.mark.parametrize("timing", ["at once", "late", "in pieces"])
 @pytest.mark.parametrize("idle", [0, 200])
 @pytest.mark.parametrize("count", [272, 500])
-def test_all_clients_that_return_together_get_their_connections_back(world, count, idle, manner):
-    """Guards against the eviction of returning clients; the limit of the pages is 384 over the standing ones."""
-    w = world(limits={"sockets": 384 + 2 * count})
-    before = [w.client() for _ in range(idle // 2)]
-    clients = [w.client() for _ in range(count)]
-    after = [w.client() for _ in range(idle - idle // 2)]
-    send_lines(clients, manner)
-    answers = Counter(c.line() for c in clients)
-    for c in (*clients, *before, *after):
-        c.close()
-    counts = w.program.counts()
-    assert answers == {b"UP s-0\r\n": count}, (answers, counts)
+def test_all_clients_that_reconnect_together_have_their_connections_adopted(world, count, idle, timing):
+    """Guards against the eviction of reconnecting clients.
+
+    The documented limit is 384 descriptors beyond those of the open connections.
+    """
+    deployment = world(limits={"sockets": 384 + 2 * count})
+    idle_before = [deployment.client() for _ in range(idle // 2)]
+    clients = [deployment.client() for _ in range(count)]
+    idle_after = [deployment.client() for _ in range(idle - idle // 2)]
+    send_open_lines(clients, timing)
+    responses = Counter(client.line() for client in clients)
+    for client in (*clients, *idle_before, *idle_after):
+        client.close()
+    counts = deployment.program.counts()
+    assert responses == {b"UP s-0\r\n": count}, (responses, counts)
     assert "connections_evicted" not in counts and counts["adoptions_established"] == count
 
 
 @pytest.mark.parametrize("sockets", [64, 80, 128, 512, 1024, 4096])
 @pytest.mark.parametrize("reserve", [0, 4, 64])
-def test_the_shares_of_descriptors_add_up_to_what_there_is(sockets, reserve):
+def test_shares_of_all_stages_fit_into_the_descriptor_limit(sockets, reserve):
     if reserve > sockets // 16:
         reserve = sockets // 16
     slots = ConnectionSlots(Counters(), sockets, reserve)
-    sides = 2 * slots.max_active + slots.max_waiting + slots.max_lingering
-    assert reserve + RESERVED_DESCRIPTORS + sides <= sockets
+    client_descriptors = 2 * slots.max_active + slots.max_waiting + slots.max_lingering
+    assert reserve + RESERVED_DESCRIPTORS + client_descriptors <= sockets
     assert slots.max_active >= 4 and min(slots.max_waiting, slots.max_lingering) >= MIN_STAGE_SHARE
 
 
 @pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"files": 928}], ids=str)
-def test_clients_that_return_into_a_crowd_get_their_connections_back(world, limit):
-    """Idle clients hold every descriptor that is free: those that return are given theirs, none beyond the limit."""
-    w = world(**limit)
-    crowd = [w.client() for _ in range(1200)]
-    clients = [w.client() for _ in range(272)]
-    crowd += [w.client() for _ in range(100)]
-    send_lines(clients, "at once")
-    answers = Counter(c.line() for c in clients)
-    held = w.program.descriptors()
-    for c in (*clients, *crowd):
-        c.close()
-    counts = w.program.counts()
-    assert answers == {b"UP s-0\r\n": 272}, (answers, counts)
-    assert held <= 928 and counts["connections_evicted"] and "connects_failed_no_descriptors" not in counts
+def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(world, limit):
+    """Idle clients hold every free descriptor and are evicted; the descriptor limit is never exceeded."""
+    deployment = world(**limit)
+    idle_clients = [deployment.client() for _ in range(1200)]
+    clients = [deployment.client() for _ in range(272)]
+    idle_clients += [deployment.client() for _ in range(100)]
+    send_open_lines(clients, "at once")
+    responses = Counter(client.line() for client in clients)
+    descriptors_in_use = deployment.program.descriptors()
+    for client in (*clients, *idle_clients):
+        client.close()
+    counts = deployment.program.counts()
+    assert responses == {b"UP s-0\r\n": 272}, (responses, counts)
+    assert (
+        descriptors_in_use <= 928 and counts["connections_evicted"] and "connects_failed_no_descriptors" not in counts
+    )
 
 
 @pytest.mark.parametrize(
     "line",
     [
-        b"OPEN i k c=test-run,d=\r\n",  # every runner answered it ERR, and was blamed for it
+        b"OPEN i k c=test-run,d=\r\n",  # each server responded with ERR, which counted as its failure
         b"OPEN i k c=test-run\r\n",
         b"OPEN i k c=test-run,d=1 0\r\n",
         b"OPEN i k c=test-run,d=1,d=2\r\n",
@@ -325,14 +332,14 @@
         b"OPEN i k c=test-run,d=9,g=\x07\r\n",
     ],
 )
-def test_first_lines_that_a_runner_could_not_use_go_to_none(line):
+def test_invalid_open_is_rejected_before_it_reaches_a_server(line):
     with pytest.raises(InvalidOpenError):
         parse_open(line, {"test-run": 0}, True)
 
 
-def test_an_event_at_will_is_logged_now_and_then_and_counted(monkeypatch):
+def test_rate_limited_event_is_logged_once_per_interval_with_the_number_suppressed(monkeypatch):
     log, lines = Log("n0", 1), []
-    monkeypatch.setattr(log, "event", lambda event, **more: lines.append((event, more)))
+    monkeypatch.setattr(log, "event", lambda event, **extra: lines.append((event, extra)))
     clock = SimpleNamespace(now=100.0)
     monkeypatch.setattr("aspensaddle.support.log.time.monotonic", lambda: clock.now)
     for _ in range(5):
