--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Budget of descriptors: at the process's limit, discovery, draining and shutdown still have theirs."""
+"""Budget of file descriptors: at the limit of the process, discovery, draining and shutdown still work."""
 
 import re
 import threading
@@ -10,7 +10,7 @@
 from aspensaddle.frontends.line_protocol.health_checker import MAX_HEALTH_CHECK_CONNECTIONS
 from aspensaddle.frontends.line_protocol.server_connector import ServerConnector
 
-PROBING = {
+HEALTH_CHECK_SETTINGS = {
     **SETTINGS,
     "report": {"how": "probe", "fields": ["inflight", "x0"]},
     "tariffs": {"probe": 0.003},
@@ -18,90 +18,96 @@
 }
 
 
-def fill(w, most):
-    """Clients that stand until no more are taken, and many that rest."""
-    standing, resting = [], []
-    for _ in range(most):
-        c = w.client()
-        if not c.open().startswith(b"UP "):
-            c.close()
+def fill_with_clients(deployment, max_clients):
+    """Open connections until one is rejected, and many silent ones; return both lists."""
+    established, silent = [], []
+    for _ in range(max_clients):
+        client = deployment.client()
+        if not client.open().startswith(b"UP "):
+            client.close()
             break
-        standing.append(c)
-        resting.append(w.client())
-    resting += [w.client() for _ in range(most)]
-    return standing, resting
+        established.append(client)
+        silent.append(deployment.client())
+    silent += [deployment.client() for _ in range(max_clients)]
+    return established, silent
 
 
 @pytest.mark.parametrize(
-    "limit", [{"limits": {"sockets": 128}}, {"files": 128}, {"files": 128, "settings": PROBING}], ids=str
+    "limit",
+    [{"limits": {"sockets": 128}}, {"files": 128}, {"files": 128, "settings": HEALTH_CHECK_SETTINGS}],
+    ids=str,
 )
-def test_a_process_that_clients_have_filled_moves_its_discovery_hears_of_a_drain_and_ends(world, limit):
-    w = world(**limit)
-    for r in w.runners:
-        r.report = b"PONG inflight=1,x0=0.01\r\n"
-    until(lambda: w.discovery.watches, "a watch")
-    w.discovery.close()  # it is down: calls are refused
-    until(lambda: w.program.events("discovery_call_failed"), "a call that failed")
-    standing, resting = fill(w, 128)
-    assert len(standing) >= (5 if "settings" in limit else 30)  # by their reports, probed runners are full before
-    held = [w.program.descriptors()]
-    new = Discovery([r.target() for r in w.runners])
+def test_process_at_its_descriptor_limit_switches_discovery_receives_a_drain_and_shuts_down(world, limit):
+    deployment = world(**limit)
+    for server in deployment.runners:
+        server.report = b"PONG inflight=1,x0=0.01\r\n"
+    until(lambda: deployment.discovery.watches, "a watch")
+    deployment.discovery.close()  # discovery is down: calls fail
+    until(lambda: deployment.program.events("discovery_call_failed"), "a failed call")
+    established, silent = fill_with_clients(deployment, 128)
+    assert len(established) >= (
+        5 if "settings" in limit else 30
+    )  # servers with health checks are full earlier, by their reports
+    descriptor_counts = [deployment.program.descriptors()]
+    new_discovery = Discovery([server.target() for server in deployment.runners])
     try:
-        w.program.reload(discovery=f"{new.address[0]}:{new.address[1]}")
-        until(lambda: new.watches, "discovery's connection")
-        held.append(w.program.descriptors())
-        w.discovery = new
-        w.drain(w.runners[0])
-        assert standing[0].echo(b"M 1") == b"M 1\r\n"
-        ended = []
-        thread = threading.Thread(target=lambda: ended.append(w.program.terminate()))
+        deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
+        until(lambda: new_discovery.watches, "a watch of the new discovery")
+        descriptor_counts.append(deployment.program.descriptors())
+        deployment.discovery = new_discovery
+        deployment.drain(deployment.runners[0])
+        assert established[0].echo(b"M 1") == b"M 1\r\n"
+        exit_codes = []
+        thread = threading.Thread(target=lambda: exit_codes.append(deployment.program.terminate()))
         thread.start()
-        for c in standing:
-            assert c.rest() == b"MOVE\r\n"
-            c.close()
-        for c in resting:
-            assert re.fullmatch(rb"BUSY( \d+)?\r\n|ERR\r\n", c.rest())
-            c.close()
+        for client in established:
+            assert client.rest() == b"MOVE\r\n"
+            client.close()
+        for client in silent:
+            assert re.fullmatch(rb"BUSY( \d+)?\r\n|ERR\r\n", client.rest())
+            client.close()
         thread.join(WAIT)
-        assert ended == [0] and max(held) <= 128
-        counts = w.program.events("counters_reported")[-1]["counts"]
+        assert exit_codes == [0] and max(descriptor_counts) <= 128
+        counts = deployment.program.events("counters_reported")[-1]["counts"]
         assert not {n for n in counts if n.startswith(("accepts_failed_", "connects_failed_", "internal_errors"))}
     finally:
-        new.close()
+        new_discovery.close()
 
 
-def test_clients_that_rest_while_discovery_is_down_do_not_keep_it_out(world):
-    """More of them than there are descriptors, all the time."""
-    w = world(files=96)
-    until(lambda: w.discovery.watches, "a watch")
-    w.discovery.close()
-    until(lambda: len(w.program.events("discovery_call_failed")) > 1, "calls that failed")
-    resting = [w.client() for _ in range(300)]
-    new = Discovery([r.target() for r in w.runners])
+def test_silent_clients_beyond_the_descriptor_limit_do_not_prevent_a_discovery_call(world):
+    """They connect while discovery is down and stay connected."""
+    deployment = world(files=96)
+    until(lambda: deployment.discovery.watches, "a watch")
+    deployment.discovery.close()
+    until(lambda: len(deployment.program.events("discovery_call_failed")) > 1, "failed calls")
+    silent = [deployment.client() for _ in range(300)]
+    new_discovery = Discovery([server.target() for server in deployment.runners])
     try:
-        w.program.reload(discovery=f"{new.address[0]}:{new.address[1]}")
-        until(lambda: new.watches, "discovery's connection")
-        with w.client() as c:
-            assert c.open().startswith(b"UP ")
+        deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
+        until(lambda: new_discovery.watches, "a watch of the new discovery")
+        with deployment.client() as client:
+            assert client.open().startswith(b"UP ")
     finally:
-        new.close()
-    for c in resting:
-        c.close()
-    assert "accepts_failed_emfile" not in w.program.counts()
+        new_discovery.close()
+    for client in silent:
+        client.close()
+    assert "accepts_failed_emfile" not in deployment.program.counts()
 
 
-def test_the_fixed_part_of_the_sum_is_what_an_idle_process_holds(world):
-    """Listener, watch, loop, signals, standard streams: what is set aside covers it, with a second call and a file."""
-    w = world()
-    until(lambda: w.discovery.watches, "a watch")
-    until(lambda: w.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process")
+def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(world):
+    """An idle process holds the listener, the watch, the event loop, signals and the standard streams."""
+    deployment = world()
+    until(lambda: deployment.discovery.watches, "a watch")
+    until(lambda: deployment.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process")
 
 
 @pytest.mark.parametrize(
-    ("probes", "sockets", "most"),
+    ("health_checks_allowed", "sockets", "max_descriptors"),
     [(False, 1024, 0), (True, 64, 4), (True, 128, 8), (True, 1024, 64), (True, 65536, MAX_HEALTH_CHECK_CONNECTIONS)],
 )
-def test_probes_stand_in_the_sum(probes, sockets, most):
+def test_health_checks_may_hold_a_share_of_the_descriptors_up_to_a_limit(
+    health_checks_allowed, sockets, max_descriptors
+):
     class Settings:
         class limits:
             pass
@@ -109,5 +115,5 @@
     class Driver:
         settings = Settings
 
-    Settings.limits.health_checks_allowed = probes
-    assert ServerConnector(Driver, None, None, sockets).descriptors == most
+    Settings.limits.health_checks_allowed = health_checks_allowed
+    assert ServerConnector(Driver, None, None, sockets).descriptors == max_descriptors
--- a/tests/test_load_report_parser.py
+++ b/tests/test_load_report_parser.py
@@ -1,11 +1,11 @@
-"""Meaning of a server's LOAD line, and that a server that reports a high latency gets no new connection."""
+"""How LOAD lines are read as loads or latencies; a server that reports a high latency gets no new connection."""
 
 from dataclasses import replace
 
 import pytest
 from helpers import SETTINGS
 from test_driver import World
-from test_relay import relay
+from test_relay import run_relay
 
 from aspensaddle.core.actions import StartAttempt
 from aspensaddle.frontends.line_protocol.load_report_parser import (
@@ -15,71 +15,76 @@
     ServerLatency,
 )
 
-TELLS = replace(SETTINGS, servers_report_latency=True)  # deadlines of 3 s, message aims of 0.06 s
+LATENCY_SETTINGS = replace(
+    SETTINGS, servers_report_latency=True
+)  # deadlines of 3 s, message latency objectives of 0.06 s
 
 
-def told(settings, *figures):
-    """Parse the LOAD lines of a connection established at 100 s, each as (seconds after that, figure)."""
+def parse_reports(settings, *values):
+    """Parse the LOAD lines of a connection established at 100 s; each is given as (seconds after that, value)."""
     parser = LoadReportParser(settings, LatencySchedule(), 100.0)
-    return [parser.parse(b"LOAD %s\r\n" % f, 100.0 + t) for t, f in figures]
+    return [parser.parse(b"LOAD %s\r\n" % value, 100.0 + seconds) for seconds, value in values]
 
 
 @pytest.mark.parametrize(
-    "figures, last",
+    "values, expected",
     [
         ([(0.0, b"66000")], [ConnectionLoad(0.066)]),
-        ([(0.0, b"250")], [ConnectionLoad(0.00025)]),  # with the UP: a light connection's load
+        ([(0.0, b"250")], [ConnectionLoad(0.00025)]),  # with the UP: the load of a light connection
         ([(0.0, b"66000"), (9.0, b"33000")], [ConnectionLoad(0.033)]),
         (
             [(0.0, b"66000"), (9.0, b"3000")],
             [ConnectionLoad(0.003)],
         ),  # no message takes as long as the longest deadline
-        ([(0.0, b"66000"), (9.0, b"2999")], [ServerLatency(2.999)]),  # a load hardly falls to less than a twentieth
+        ([(0.0, b"66000"), (9.0, b"2999")], [ServerLatency(2.999)]),  # a load rarely drops below a twentieth at once
         ([(0.0, b"66000"), (9.0, b"12.8")], [ServerLatency(0.0128)]),
-        ([(0.0, b"6600"), (9.0, b"660")], [ConnectionLoad(0.00066)]),  # a light connection falls idle
+        ([(0.0, b"6600"), (9.0, b"660")], [ConnectionLoad(0.00066)]),  # a light connection becomes idle
         ([(0.0, b"6600"), (9.0, b"660"), (12.0, b"660")], [ConnectionLoad(0.00066)]),
         (
             [(0.0, b"6600"), (9.0, b"660"), (10.02, b"900")],
             [ConnectionLoad(0.0066), ServerLatency(0.9)],
-        ),  # in step: it was none
+        ),  # a second later: the last value was not a load
         ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900"), (11.01, b"800")], [ServerLatency(0.8)]),
     ],
 )
-def test_a_note_is_a_load_or_a_delay_by_what_it_can_be(figures, last):
-    assert told(TELLS, *figures)[-1] == tuple(last)
+def test_value_is_read_as_a_load_or_a_latency_by_its_size_and_time(values, expected):
+    assert parse_reports(LATENCY_SETTINGS, *values)[-1] == tuple(expected)
 
 
-def test_two_connections_at_a_slow_runner_tell_in_step():
+def test_values_one_second_apart_on_two_connections_of_a_server_are_latencies():
     schedule = LatencySchedule()
-    a, b = LoadReportParser(TELLS, schedule, 90.0), LoadReportParser(TELLS, schedule, 90.0)
-    assert a.parse(b"LOAD 500", 100.0) == (ConnectionLoad(0.0005),)
-    assert b.parse(b"LOAD 600", 101.0) == (ServerLatency(0.6),)
+    first_parser, second_parser = (
+        LoadReportParser(LATENCY_SETTINGS, schedule, 90.0),
+        LoadReportParser(LATENCY_SETTINGS, schedule, 90.0),
+    )
+    assert first_parser.parse(b"LOAD 500", 100.0) == (ConnectionLoad(0.0005),)
+    assert second_parser.parse(b"LOAD 600", 101.0) == (ServerLatency(0.6),)
 
 
-def test_where_runners_tell_no_delays_every_note_is_a_load():
-    assert told(SETTINGS, (0.0, b"66000"), (9.0, b"250"))[-1] == (ConnectionLoad(0.00025),)
+def test_every_value_is_a_load_if_servers_report_no_latency():
+    assert parse_reports(SETTINGS, (0.0, b"66000"), (9.0, b"250"))[-1] == (ConnectionLoad(0.00025),)
 
 
 @pytest.mark.parametrize("line", [b"", b"x", b"-1", b"nan", b"1e300"])
-def test_a_note_without_a_figure_in_range_is_none(line):
-    assert told(TELLS, (9.0, line)) == [()]
+def test_line_without_a_value_in_range_gives_no_report(line):
+    assert parse_reports(LATENCY_SETTINGS, (9.0, line)) == [()]
 
 
-def test_a_relay_tells_the_driver_of_both_kinds():
-    async def script(client, runner, r):
-        r.load_report_parser = LoadReportParser(TELLS, LatencySchedule(), -10.0)
-        await runner.send_all(b"LOAD 250000\r\nLOAD 400\r\n")
+def test_relay_reports_loads_and_latencies_to_the_driver():
+    async def script(client, server, relay):
+        relay.load_report_parser = LoadReportParser(LATENCY_SETTINGS, LatencySchedule(), -10.0)
+        await server.send_all(b"LOAD 250000\r\nLOAD 400\r\n")
         assert await client.receive_some(100) == b"LOAD 250000\r\nLOAD 400\r\n"
-        r.stop()
+        relay.stop()
 
-    r, _ = relay(script)
-    assert r.driver.loads == [0.25] and r.driver.delays == [0.4]
+    relay, _ = run_relay(script)
+    assert relay.driver.loads == [0.25] and relay.driver.latencies == [0.4]
 
 
-def test_a_runner_that_says_it_is_slow_gets_nothing_new():
-    w = World(settings=TELLS)
-    first = w.ask("first").actions[-1]
-    assert isinstance(first, StartAttempt)
-    w.driver.connection_established("first")
-    w.driver.server_latency_reported("first", 0.4)
-    assert all(w.ask(f"r{i}").actions[-1].server != first.server for i in range(20))
+def test_server_that_reports_a_high_latency_gets_no_new_request():
+    world = World(settings=LATENCY_SETTINGS)
+    first_attempt = world.ask("first").actions[-1]
+    assert isinstance(first_attempt, StartAttempt)
+    world.driver.connection_established("first")
+    world.driver.server_latency_reported("first", 0.4)
+    assert all(world.ask(f"r{i}").actions[-1].server != first_attempt.server for i in range(20))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,9 +1,10 @@
-"""Relay between a client and its server, the log, and an internal error, without a process."""
+"""Relay between a client and its server, the log, and an internal error, all in the test's process."""
 
 import os
 import socket
 from types import SimpleNamespace
 
+import hypothesis
 import pytest
 import trio
 from helpers import SETTINGS
@@ -20,164 +21,166 @@
 from aspensaddle.support.log import MAX_QUEUED_LINES, Log
 
 
-class Driver:
+class RecordingDriver:
     def __init__(self):
-        self.loads, self.delays, self.waits, self.ended_as = [], [], [], []
+        self.loads, self.latencies, self.response_delays, self.ended_as = [], [], [], []
 
     def connection_load_reported(self, id, load):
         self.loads.append(load)
 
-    def server_latency_reported(self, id, delay):
-        self.delays.append(delay)
+    def server_latency_reported(self, id, latency):
+        self.latencies.append(latency)
 
-    def record_response_delay(self, id, wait):
-        self.waits.append(wait)
+    def record_response_delay(self, id, delay):
+        self.response_delays.append(delay)
 
 
-def pair():
-    return [trio.SocketStream(trio.socket.from_stdlib_socket(s)) for s in _pair()]
+def trio_socket_pair():
+    return [trio.SocketStream(trio.socket.from_stdlib_socket(s)) for s in tcp_socket_pair()]
 
 
-def _pair():
-    listener = socket.create_server(("127.0.0.1", 0))  # TCP, for its resets
-    a = socket.create_connection(listener.getsockname())
-    b, _ = listener.accept()
+def tcp_socket_pair():
+    listener = socket.create_server(("127.0.0.1", 0))  # TCP, since the tests need resets
+    peer = socket.create_connection(listener.getsockname())
+    stream, _ = listener.accept()
     listener.close()
-    a.setblocking(False)
-    b.setblocking(False)
-    return a, b
+    peer.setblocking(False)
+    stream.setblocking(False)
+    return peer, stream
 
 
-def relay(script):
-    """Run a relay while `script(client, runner, relay)` plays both ends; return it and whether the client migrates."""
+def run_relay(script):
+    """Run a relay while `script(client, server, relay)` acts as both peers; return it and whether the client migrates."""
 
     async def main():
-        (client, ours), (theirs, runner) = pair(), pair()
-        r = Relay(
-            Link(ours),
-            Link(theirs),
+        (client, client_side), (server_side, server) = trio_socket_pair(), trio_socket_pair()
+        relay = Relay(
+            Link(client_side),
+            Link(server_side),
             "id",
-            Driver(),
+            RecordingDriver(),
             Counters(),
             LoadReportParser(SETTINGS, LatencySchedule(), trio.current_time()),
         )
-        moved = []
+        migrated = []
 
         async def run():
-            moved.append(await r.run(b"UP r\r\n"))
+            migrated.append(await relay.run(b"UP r\r\n"))
 
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(run)
                 assert await client.receive_some(100) == b"UP r\r\n"
-                await script(client, runner, r)
-        return r, moved[0]
+                await script(client, server, relay)
+        return relay, migrated[0]
 
     return trio.run(main)
 
 
+# A derandomized test draws by the hash of its source; the seed keeps the draws of an earlier source.
+@hypothesis.seed(0x4C0BFAC3A0DAFBEE3CE9FEA4D90E3758CB5DBB9520A966E847C71707A43A50D7C5EE7A0D47DEDB2094189D48D15F9764)
 @given(
-    st.lists(st.binary(min_size=1, max_size=30).map(lambda b: b.replace(b"\n", b"")), min_size=1, max_size=5),
+    st.lists(st.binary(min_size=1, max_size=30).map(lambda line: line.replace(b"\n", b"")), min_size=1, max_size=5),
     st.lists(st.integers(1, 40), max_size=6),
 )
-def test_lines_pass_unchanged_however_they_are_cut(lines, cuts):
+def test_lines_are_relayed_unchanged_however_they_are_split(lines, cuts):
     data = b"".join(b"M" + line + b"\r\n" for line in lines)
 
-    async def script(client, runner, r):
-        for source, sink in ((runner, client), (client, runner)):
-            at, got = 0, b""
+    async def script(client, server, relay):
+        for source, sink in ((server, client), (client, server)):
+            sent, received = 0, b""
             for cut in [*cuts, len(data)]:
-                if data[at : at + cut]:
-                    await source.send_all(data[at : at + cut])
-                at += cut
-            while len(got) < len(data):
-                got += await sink.receive_some(4096)
-            assert got == data
-        r.stop()
+                if data[sent : sent + cut]:
+                    await source.send_all(data[sent : sent + cut])
+                sent += cut
+            while len(received) < len(data):
+                received += await sink.receive_some(4096)
+            assert received == data
+        relay.stop()
 
-    relay(script)
+    run_relay(script)
 
 
-def test_only_whole_lines_reach_a_client_so_that_a_move_fits_in_between():
-    async def script(client, runner, r):
-        await runner.send_all(b"LOAD 250000\r\nhalf a li")
+def test_incomplete_line_is_held_back_so_that_a_move_can_follow_a_complete_one():
+    async def script(client, server, relay):
+        await server.send_all(b"LOAD 250000\r\nhalf a li")
         assert await client.receive_some(100) == b"LOAD 250000\r\n"
         with trio.move_on_after(0.2) as limit:
             await client.receive_some(100)
         assert limit.cancelled_caught
-        r.stop()
+        relay.stop()
 
-    r, moved = relay(script)
-    assert moved and r.client_at_line_end and r.driver.loads == [0.25]
+    relay, migrated = run_relay(script)
+    assert migrated and relay.client_at_line_end and relay.driver.loads == [0.25]
 
 
 @pytest.mark.parametrize(
     ("last", "outcome"),
     [(b"BYE\r\n", Outcome.OK), (b"MOVE\r\n", Outcome.CANCELLED), (b"M 1\r\n", Outcome.CONNECTION_LOST)],
 )
-def test_a_runner_s_end_is_told_by_its_last_line_and_passed_on(last, outcome):
-    async def script(client, runner, r):
-        await runner.send_all(last)
-        await runner.send_eof()
+def test_end_of_the_server_is_passed_on_and_its_last_line_sets_the_outcome(last, outcome):
+    async def script(client, server, relay):
+        await server.send_all(last)
+        await server.send_eof()
         assert await client.receive_some(100) == last
         assert await client.receive_some(100) == b""
         await client.send_eof()
 
-    r, moved = relay(script)
-    assert (r.outcome, moved, r.reset) == (outcome, False, False)
+    relay, migrated = run_relay(script)
+    assert (relay.outcome, migrated, relay.reset) == (outcome, False, False)
 
 
-def test_a_reset_of_either_side_is_a_reset_for_the_other():
+def test_reset_of_either_side_resets_the_other():
     for side in (0, 1):
 
-        async def script(client, runner, r, side=side):
-            Link((client, runner)[side]).reset()
+        async def script(client, server, relay, side=side):
+            Link((client, server)[side]).reset()
 
-        r, moved = relay(script)
-        assert r.reset and not moved
-        assert r.outcome is (Outcome.CONNECTION_LOST if side else Outcome.CANCELLED)
+        relay, migrated = run_relay(script)
+        assert relay.reset and not migrated
+        assert relay.outcome is (Outcome.CONNECTION_LOST if side else Outcome.CANCELLED)
 
 
-def test_a_client_s_end_is_passed_on_and_what_the_runner_still_says_arrives():
-    async def script(client, runner, r):
+def test_end_of_the_client_is_passed_on_and_later_server_lines_still_arrive():
+    async def script(client, server, relay):
         await client.send_all(b"M 1\r\nrest without end")
         await client.send_eof()
-        got = b""
-        while chunk := await runner.receive_some(100):
-            got += chunk
-        assert got == b"M 1\r\nrest without end"
-        await runner.send_all(b"M 1\r\nBYE\r\n")
-        await runner.send_eof()
+        received = b""
+        while chunk := await server.receive_some(100):
+            received += chunk
+        assert received == b"M 1\r\nrest without end"
+        await server.send_all(b"M 1\r\nBYE\r\n")
+        await server.send_eof()
         assert await client.receive_some(100) == b"M 1\r\nBYE\r\n"
 
-    r, _ = relay(script)
-    assert r.outcome is Outcome.OK and len(r.driver.waits) == 1
+    relay, _ = run_relay(script)
+    assert relay.outcome is Outcome.OK and len(relay.driver.response_delays) == 1
 
 
-def test_a_line_that_does_not_come_back_moves_the_client():
-    async def script(client, runner, r):
+def test_line_without_an_echo_migrates_the_client_after_the_silence_timeout():
+    async def script(client, server, relay):
         await client.send_all(b"M 1\r\n")
-        await runner.receive_some(100)
+        await server.receive_some(100)
         now = trio.current_time()
-        r.check_silence(now + 2)
-        assert not r.server_silent and 1 < r.echo_overdue(now + 2) < 3
-        r.check_silence(now + 6)
+        relay.check_silence(now + 2)
+        assert not relay.server_silent and 1 < relay.echo_overdue(now + 2) < 3
+        relay.check_silence(now + 6)
 
-    r, moved = relay(script)
-    assert r.server_silent and moved
+    relay, migrated = run_relay(script)
+    assert relay.server_silent and migrated
 
 
-def test_lines_and_buffers_are_bound():
+def test_line_longer_than_the_limit_raises_an_error():
     async def main():
-        a, b = pair()
-        await a.send_all(b"x" * (MAX_LINE_BYTES + 10))
+        peer, stream = trio_socket_pair()
+        await peer.send_all(b"x" * (MAX_LINE_BYTES + 10))
         with pytest.raises(LineTooLongError):
-            await Link(b).read_line()
+            await Link(stream).read_line()
 
     trio.run(main)
 
 
-def test_a_log_that_nobody_reads_holds_up_nothing():
+def test_log_that_nobody_reads_drops_lines_instead_of_blocking():
     read, write = os.pipe()
     log = Log("n0", write)
     for n in range(3 * MAX_QUEUED_LINES):
@@ -187,15 +190,15 @@
     os.close(read)
 
 
-def test_a_fault_is_answered_and_ends_one_connection_only():
-    class Faulty:
+def test_internal_error_sends_err_and_ends_only_its_connection():
+    class FailingDriver:
         settings = SimpleNamespace(session_groups=False, classes=[SimpleNamespace(deadline=1.0)])
 
         def __contains__(self, id):
             return False
 
         def submit(self, *_):
-            raise RuntimeError("a fault of the module")
+            raise RuntimeError("an exception in the balancer")
 
         def client_disconnected(self, id):
             pass
@@ -203,16 +206,18 @@
     async def main():
         events = []
         log = SimpleNamespace(event=lambda name, **more: events.append(name))
-        config = SimpleNamespace(sockets=100, classes={"test-run": 0}, settings=Faulty.settings)
-        frontend = LineProtocolFrontend(config, Faulty(), SimpleNamespace(descriptors=0), None, Counters(), log)
+        config = SimpleNamespace(sockets=100, classes={"test-run": 0}, settings=FailingDriver.settings)
+        frontend = LineProtocolFrontend(
+            config, FailingDriver(), SimpleNamespace(descriptors=0), None, Counters(), log
+        )
         with trio.fail_after(20):
             for _ in range(2):
-                a, b = pair()
+                peer, stream = trio_socket_pair()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(frontend.handler.handle, b, trio.current_time(), 0)
-                    await a.send_all(b"OPEN i k c=test-run,d=500\r\n")
-                    assert await a.receive_some(100) == b"ERR\r\n"
-                    await a.aclose()
+                    nursery.start_soon(frontend.handler.handle, stream, trio.current_time(), 0)
+                    await peer.send_all(b"OPEN i k c=test-run,d=500\r\n")
+                    assert await peer.receive_some(100) == b"ERR\r\n"
+                    await peer.aclose()
         assert events == ["internal_error", "internal_error"] and frontend.counters["internal_errors"] == 2
         assert frontend.slots.open == 0
 
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -1,4 +1,4 @@
-"""Repeats through real sockets: by the class's effect, its group of runners and its window, and what is answered."""
+"""Retries over real sockets, by the idempotency of the request class and its deduplication scope and window."""
 
 from dataclasses import replace
 
@@ -7,150 +7,169 @@
 from frontend_harness import REQUEST_CLASS, FrontendHarness, Gate
 from standins import Runner, reset
 
-PURE, SIDE = {**REQUEST_CLASS, "repeat": "pure"}, {**REQUEST_CLASS, "repeat": "side_effect"}
+PURE_CLASS, SIDE_EFFECT_CLASS = {**REQUEST_CLASS, "repeat": "pure"}, {**REQUEST_CLASS, "repeat": "side_effect"}
 
 
-def token(group="all", window=5.0):
+def token_class(group="all", window=5.0):
     return {**REQUEST_CLASS, "repeat": "token", "group": group, "window": window}
 
 
-class Played:
-    """A request whose first attempt is held at one of the runners, and what comes of it."""
-
-    def __init__(self, lane, az=("surabaya", "surabaya"), cells=(0, 0)):
-        self.runners = [Runner(f"s-{i}") for i in range(len(az))]
-        for r in self.runners:
-            r.held = True
-        targets = [r.target(az=a, pod_group=c) for r, a, c in zip(self.runners, az, cells, strict=True)]
-        self.f = FrontendHarness(self.runners, request_classes=[lane], targets=targets)
-        self.answer, self.later = b"", 0.0
-        clock = self.f.driver._clock
-        self.f.driver._clock = lambda: clock() + self.later
-
-    def run(self, happens):
-        async def script(f):
-            peer = await f.send_open()
-            await f.wait_until(lambda: any(r.first_lines for r in self.runners))
-            first = next(r for r in self.runners if r.first_lines)
-            connection, _ = await trio.to_thread.run_sync(first.offered)
-            for r in self.runners:
-                r.held = False
-            await happens(self, connection)
-            self.answer = await peer.read_line()
-            peer.stream.socket.close()
-            await f.wait_until_all_closed()
-
-        self.f.run(script)
-        return self.answer.split()[0], sum(len(r.first_lines) for r in self.runners)
-
-
-async def breaks(played, connection):
+class RetryScenario:
+    """A request whose first attempt is held at one of the servers until the test makes it fail.
+
+    Attributes:
+        clock_offset: Seconds by which the driver's clock is ahead.
+        response: What the client received.
+    """
+
+    def __init__(self, request_class, zones=("surabaya", "surabaya"), cells=(0, 0)):
+        self.servers = [Runner(f"s-{i}") for i in range(len(zones))]
+        for server in self.servers:
+            server.held = True
+        targets = [
+            server.target(az=zone, pod_group=cell)
+            for server, zone, cell in zip(self.servers, zones, cells, strict=True)
+        ]
+        self.harness = FrontendHarness(self.servers, request_classes=[request_class], targets=targets)
+        self.response, self.clock_offset = b"", 0.0
+        clock = self.harness.driver._clock
+        self.harness.driver._clock = lambda: clock() + self.clock_offset
+
+    def run(self, failure):
+        """Fail the first attempt with `failure`; return the first word of the response and the number of attempts."""
+
+        async def script(harness):
+            client = await harness.send_open()
+            await harness.wait_until(lambda: any(server.first_lines for server in self.servers))
+            first_server = next(server for server in self.servers if server.first_lines)
+            connection, _ = await trio.to_thread.run_sync(first_server.offered)
+            for server in self.servers:
+                server.held = False
+            await failure(self, connection)
+            self.response = await client.read_line()
+            client.stream.socket.close()
+            await harness.wait_until_all_closed()
+
+        self.harness.run(script)
+        return self.response.split()[0], sum(len(server.first_lines) for server in self.servers)
+
+
+async def reset_connection(scenario, connection):
     reset(connection)
 
 
-async def errs(played, connection):
+async def send_err(scenario, connection):
     connection.sendall(b"ERR\r\n")
 
 
-async def refuses(played, connection):
+async def send_busy(scenario, connection):
     connection.sendall(b"BUSY\r\n")
 
 
-async def breaks_after_the_window(played, connection):
-    played.later = 6.0 if played.f.config.settings.classes[0].deduplication_window == 5.0 else 1.0
+async def reset_after_the_window(scenario, connection):
+    scenario.clock_offset = 6.0 if scenario.harness.config.settings.classes[0].deduplication_window == 5.0 else 1.0
     reset(connection)
 
 
-@pytest.mark.parametrize("happens", [breaks, errs])
+@pytest.mark.parametrize("failure", [reset_connection, send_err])
 @pytest.mark.parametrize(
-    ("lane", "az", "cells", "wanted"),
+    ("request_class", "zones", "cells", "expected"),
     [
-        (PURE, ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
-        (token(), ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
-        (token("zone"), ("surabaya", "surabaya"), (0, 1), (b"UP", 2)),
-        (token("zone"), ("surabaya", "semarang"), (0, 0), (b"UP", 2)),  # at the same runner: no other is in its zone
-        (token("cell"), ("surabaya", "semarang"), (3, 3), (b"UP", 2)),
-        (token("cell"), ("surabaya", "surabaya"), (3, 4), (b"UP", 2)),
-        (SIDE, ("surabaya", "surabaya"), (0, 0), (b"ERR", 1)),
+        (PURE_CLASS, ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
+        (token_class(), ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
+        (token_class("zone"), ("surabaya", "surabaya"), (0, 1), (b"UP", 2)),
+        (
+            token_class("zone"),
+            ("surabaya", "semarang"),
+            (0, 0),
+            (b"UP", 2),
+        ),  # at the same server, since no other is in its zone
+        (token_class("cell"), ("surabaya", "semarang"), (3, 3), (b"UP", 2)),
+        (token_class("cell"), ("surabaya", "surabaya"), (3, 4), (b"UP", 2)),
+        (SIDE_EFFECT_CLASS, ("surabaya", "surabaya"), (0, 0), (b"ERR", 1)),
     ],
     ids=str,
 )
-def test_an_attempt_that_may_have_run_is_repeated_only_where_that_has_no_second_effect(
-    happens, lane, az, cells, wanted
+def test_attempt_that_may_have_been_executed_is_retried_only_where_a_repeat_has_no_effect(
+    failure, request_class, zones, cells, expected
 ):
-    played = Played(lane, az, cells)
-    assert played.run(happens) == wanted
-    first, *again = [i for i, r in enumerate(played.runners) for _ in r.first_lines]
-    if lane["repeat"] == "token" and again and lane["group"] != "all":
-        side = az if lane["group"] == "zone" else cells
-        assert all(side[i] == side[first] for i in again)
+    scenario = RetryScenario(request_class, zones, cells)
+    assert scenario.run(failure) == expected
+    first_server, *retries = [i for i, server in enumerate(scenario.servers) for _ in server.first_lines]
+    if request_class["repeat"] == "token" and retries and request_class["group"] != "all":
+        locations = zones if request_class["group"] == "zone" else cells
+        assert all(locations[i] == locations[first_server] for i in retries)
 
 
-@pytest.mark.parametrize("lane", [PURE, token(), token("zone"), token("cell"), SIDE], ids=str)
-def test_one_that_was_refused_may_go_anywhere(lane):
-    assert Played(lane, ("surabaya", "semarang"), (0, 1)).run(refuses) == (b"UP", 2)
+@pytest.mark.parametrize(
+    "request_class", [PURE_CLASS, token_class(), token_class("zone"), token_class("cell"), SIDE_EFFECT_CLASS], ids=str
+)
+def test_rejected_attempt_is_retried_at_any_server_for_every_class(request_class):
+    assert RetryScenario(request_class, ("surabaya", "semarang"), (0, 1)).run(send_busy) == (b"UP", 2)
 
 
 @pytest.mark.parametrize(
-    ("lane", "wanted"),
+    ("request_class", "expected"),
     [
-        (token(window=0.8), (b"BUSY", 1)),
-        (token("zone", 0.8), (b"ERR", 1)),
-        (token("cell", 0.8), (b"ERR", 1)),
-        (SIDE, (b"ERR", 1)),
+        (token_class(window=0.8), (b"BUSY", 1)),
+        (token_class("zone", 0.8), (b"ERR", 1)),
+        (token_class("cell", 0.8), (b"ERR", 1)),
+        (SIDE_EFFECT_CLASS, (b"ERR", 1)),
     ],
     ids=str,
 )
-def test_a_window_that_ends_while_an_attempt_is_out_ends_the_repeats(lane, wanted):
-    """A class that any runner drops the repeats of may be refused; of the others nothing can be promised."""
-    assert Played(lane).run(breaks_after_the_window) == wanted
+def test_deduplication_window_that_ends_during_an_attempt_prevents_a_retry(request_class, expected):
+    """A request that all servers deduplicate is rejected, so the client may retry it; any other one fails."""
+    assert RetryScenario(request_class).run(reset_after_the_window) == expected
 
 
 @pytest.mark.parametrize(
-    ("lane", "wanted"), [(token(window=0.8), (b"BUSY", 1)), (token("zone", 0.8), (b"ERR", 1))], ids=str
+    ("request_class", "expected"),
+    [(token_class(window=0.8), (b"BUSY", 1)), (token_class("zone", 0.8), (b"ERR", 1))],
+    ids=str,
 )
-def test_a_window_that_ends_while_the_next_connection_comes_up_lets_no_byte_through(lane, wanted):
-    """The repeat was chosen within it. Before, only the runner was looked at by then."""
+def test_deduplication_window_that_ends_while_a_retry_connects_prevents_its_first_byte(request_class, expected):
+    """Guards against checking only the server at that point, since the retry was decided within the window."""
 
-    async def happens(played, connection):
+    async def failure(scenario, connection):
         gate = Gate()
-        played.f.connector._connect = gate.hold(played.f.connector._connect)
+        scenario.harness.connector._connect = gate.hold(scenario.harness.connector._connect)
         reset(connection)
         await gate.reached.wait()
-        played.later = 0.9
+        scenario.clock_offset = 0.9
         gate.opened.set()
 
-    assert Played(lane).run(happens) == wanted
+    assert RetryScenario(request_class).run(failure) == expected
 
 
-def test_a_reload_that_shortens_the_window_takes_force_under_a_request_in_hand():
-    async def happens(played, connection):
+def test_reload_that_shortens_the_deduplication_window_applies_to_a_pending_request():
+    async def failure(scenario, connection):
         gate = Gate()
-        played.f.connector._connect = gate.hold(played.f.connector._connect)
+        scenario.harness.connector._connect = gate.hold(scenario.harness.connector._connect)
         reset(connection)
         await gate.reached.wait()
-        played.later = 0.9
-        settings = played.f.config.settings
-        played.f.driver.configure(
+        scenario.clock_offset = 0.9
+        settings = scenario.harness.config.settings
+        scenario.harness.driver.configure(
             replace(settings, classes=(replace(settings.classes[0], deduplication_window=0.8),))
         )
         gate.opened.set()
 
-    assert Played(token()).run(happens) == (b"BUSY", 1)
+    assert RetryScenario(token_class()).run(failure) == (b"BUSY", 1)
 
 
-def test_a_connection_that_was_not_up_in_time_has_never_run():
-    """A request that may not be repeated was failed for it, as if it had been sent."""
+def test_request_whose_connect_takes_too_long_is_rejected_as_not_executed():
+    """Guards against failing a request that must not be repeated as if it had been sent."""
 
-    async def script(f):
+    async def script(harness):
         gate = Gate()
-        f.connector._connect = gate.hold(f.connector._connect)
-        peer = await f.send_open("c=test-run,d=300")
+        harness.connector._connect = gate.hold(harness.connector._connect)
+        client = await harness.send_open("c=test-run,d=300")
         await gate.reached.wait()
-        assert (await peer.read_line()).startswith(b"BUSY")
-        peer.stream.socket.close()
-        await f.wait_until_all_closed()
+        assert (await client.read_line()).startswith(b"BUSY")
+        client.stream.socket.close()
+        await harness.wait_until_all_closed()
 
-    runner = Runner("s-0")
-    FrontendHarness([runner], request_classes=[SIDE]).run(script)
-    assert not runner.first_lines
+    server = Runner("s-0")
+    FrontendHarness([server], request_classes=[SIDE_EFFECT_CLASS]).run(script)
+    assert not server.first_lines
