--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -129,8 +129,10 @@
         server.held = True
     with deployment.client() as client:
         client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
-        held = until(lambda: [server for server in deployment.runners if server.first_lines], "the attempt")[0]
-        connection, _ = held.offered()
+        attempted_server = until(
+            lambda: [server for server in deployment.runners if server.first_lines], "the attempt"
+        )[0]
+        connection, _ = attempted_server.offered()
         client.sock.shutdown(socket.SHUT_WR)
         assert connection.recv(100) == b""  # the attempt is cancelled
         assert client.rest() == b""
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -45,9 +45,8 @@
     deployment.discovery.close()  # discovery is down: calls fail
     until(lambda: deployment.program.events("discovery_call_failed"), "a failed call")
     established, silent = fill_with_clients(deployment, 128)
-    assert len(established) >= (
-        5 if "settings" in limit else 30
-    )  # servers with health checks are full earlier, by their reports
+    # With health checks, the reports of the servers show them as full earlier.
+    assert len(established) >= (5 if "settings" in limit else 30)
     descriptor_counts = [deployment.program.descriptors()]
     new_discovery = Discovery([server.target() for server in deployment.runners])
     try:
--- a/tests/test_load_report_parser.py
+++ b/tests/test_load_report_parser.py
@@ -32,18 +32,14 @@
         ([(0.0, b"66000")], [ConnectionLoad(0.066)]),
         ([(0.0, b"250")], [ConnectionLoad(0.00025)]),  # with the UP: the load of a light connection
         ([(0.0, b"66000"), (9.0, b"33000")], [ConnectionLoad(0.033)]),
-        (
-            [(0.0, b"66000"), (9.0, b"3000")],
-            [ConnectionLoad(0.003)],
-        ),  # no message takes as long as the longest deadline
+        # No message takes as long as the longest deadline.
+        ([(0.0, b"66000"), (9.0, b"3000")], [ConnectionLoad(0.003)]),
         ([(0.0, b"66000"), (9.0, b"2999")], [ServerLatency(2.999)]),  # a load rarely drops below a twentieth at once
         ([(0.0, b"66000"), (9.0, b"12.8")], [ServerLatency(0.0128)]),
         ([(0.0, b"6600"), (9.0, b"660")], [ConnectionLoad(0.00066)]),  # a light connection becomes idle
         ([(0.0, b"6600"), (9.0, b"660"), (12.0, b"660")], [ConnectionLoad(0.00066)]),
-        (
-            [(0.0, b"6600"), (9.0, b"660"), (10.02, b"900")],
-            [ConnectionLoad(0.0066), ServerLatency(0.9)],
-        ),  # a second later: the last value was not a load
+        # The value one second later shows that the previous one was a latency.
+        ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900")], [ConnectionLoad(0.0066), ServerLatency(0.9)]),
         ([(0.0, b"6600"), (9.0, b"660"), (10.02, b"900"), (11.01, b"800")], [ServerLatency(0.8)]),
     ],
 )
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -88,11 +88,11 @@
 
     async def script(client, server, relay):
         for source, sink in ((server, client), (client, server)):
-            sent, received = 0, b""
+            offset, received = 0, b""
             for cut in [*cuts, len(data)]:
-                if data[sent : sent + cut]:
-                    await source.send_all(data[sent : sent + cut])
-                sent += cut
+                if data[offset : offset + cut]:
+                    await source.send_all(data[offset : offset + cut])
+                offset += cut
             while len(received) < len(data):
                 received += await sink.receive_some(4096)
             assert received == data
@@ -115,14 +115,14 @@
 
 
 @pytest.mark.parametrize(
-    ("last", "outcome"),
+    ("last_line", "outcome"),
     [(b"BYE\r\n", Outcome.OK), (b"MOVE\r\n", Outcome.CANCELLED), (b"M 1\r\n", Outcome.CONNECTION_LOST)],
 )
-def test_end_of_the_server_is_passed_on_and_its_last_line_sets_the_outcome(last, outcome):
+def test_end_of_the_server_is_passed_on_and_its_last_line_sets_the_outcome(last_line, outcome):
     async def script(client, server, relay):
-        await server.send_all(last)
+        await server.send_all(last_line)
         await server.send_eof()
-        assert await client.receive_some(100) == last
+        assert await client.receive_some(100) == last_line
         assert await client.receive_some(100) == b""
         await client.send_eof()
 
--- a/tests/test_repeat_windows.py
+++ b/tests/test_repeat_windows.py
@@ -78,12 +78,8 @@
         (PURE_CLASS, ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
         (token_class(), ("surabaya", "semarang"), (0, 1), (b"UP", 2)),
         (token_class("zone"), ("surabaya", "surabaya"), (0, 1), (b"UP", 2)),
-        (
-            token_class("zone"),
-            ("surabaya", "semarang"),
-            (0, 0),
-            (b"UP", 2),
-        ),  # at the same server, since no other is in its zone
+        # Retried at the same server, since no other is in its zone.
+        (token_class("zone"), ("surabaya", "semarang"), (0, 0), (b"UP", 2)),
         (token_class("cell"), ("surabaya", "semarang"), (3, 3), (b"UP", 2)),
         (token_class("cell"), ("surabaya", "surabaya"), (3, 4), (b"UP", 2)),
         (SIDE_EFFECT_CLASS, ("surabaya", "surabaya"), (0, 0), (b"ERR", 1)),
