--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -100,7 +100,7 @@
         """
         available = min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - reserve - RESERVED_DESCRIPTORS
         self._usable = max(2 + 2 * MIN_STAGE_SHARE, available)
-        # Active clients hold at most a third of the descriptors, since each may need another one for its server.
+        # Active clients hold at most a third of the descriptors, and each may need another one for its server.
         self.max_active = max(
             1, min((available + RESERVED_DESCRIPTORS) // 3, (self._usable - 2 * MIN_STAGE_SHARE) // 2)
         )
--- a/aspensaddle/frontends/line_protocol/load_report_parser.py
+++ b/aspensaddle/frontends/line_protocol/load_report_parser.py
@@ -55,8 +55,8 @@
 
     def record(self, now: float) -> bool:
         """Record a value; return whether it came one interval after the previous one."""
-        passed, self.last_at = now - self.last_at, now
-        return abs(passed - LATENCY_INTERVAL_SECONDS) <= LATENCY_INTERVAL_TOLERANCE_SECONDS
+        elapsed, self.last_at = now - self.last_at, now
+        return abs(elapsed - LATENCY_INTERVAL_SECONDS) <= LATENCY_INTERVAL_TOLERANCE_SECONDS
 
 
 class LoadReportParser:
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -222,7 +222,7 @@
 
 
 def test_eviction_of_a_connection_whose_bytes_have_arrived_is_revoked():
-    """Guards against BUSY for a client whose line was in the kernel when its connection was evicted."""
+    """Guards against a BUSY for a client whose line was in the kernel when its connection was evicted."""
     server = Runner("s-0")
 
     async def script(harness):
