--- a/aspensaddle/frontends/line_protocol/connection_adopter.py
+++ b/aspensaddle/frontends/line_protocol/connection_adopter.py
@@ -64,7 +64,7 @@
 
     @property
     def client_may_retry(self) -> bool:
-        """Whether a retry by the client is allowed."""
+        """Whether a retry by the client is harmless."""
         return self.possibly_executed_at is None or self.request_class.client_may_retry
 
 
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -29,7 +29,7 @@
     open_request: OpenRequest
     request: Request
     started_at: float
-    server: int | None = None  # of the last attempt
+    server: int | None = None  # server of the last attempt
     established: AttemptEstablished | None = None
     decision: Reject | Fail | None = None  # the final one, if any
     response: bytes = b""
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -9,9 +9,9 @@
 from standins import Client, Runner, until
 
 
-@pytest.mark.parametrize("leave", ["ends", "resets"])
+@pytest.mark.parametrize("departure", ["ends", "resets"])
 @pytest.mark.parametrize("clients_ahead", [0, 40])
-def test_client_that_left_before_its_accept_causes_no_attempt(leave, clients_ahead):
+def test_client_that_left_before_its_accept_causes_no_attempt(departure, clients_ahead):
     """Its OPEN and its end have both arrived before the first read; other clients are ahead in the accept queue."""
     server = Runner("s-0")
     server.held = True
@@ -20,14 +20,14 @@
         others = [await harness.send_open() for _ in range(clients_ahead)]
         client = await harness.connect()
         await client.send(b"OPEN left k c=test-run,d=3000\r\n")
-        if leave == "ends":
+        if departure == "ends":
             await client.stream.send_eof()
         else:
             client.reset()
         harness.nursery.start_soon(harness.frontend.serve, harness.listener, harness.nursery)
         for _ in range(clients_ahead):
             await trio.to_thread.run_sync(server.offered)
-        if leave == "ends":
+        if departure == "ends":
             await client.read_to_end()
             client.stream.socket.close()
         for other in others:
@@ -38,8 +38,8 @@
     assert not any(b" left " in line for line in server.first_lines) and len(server.first_lines) == clients_ahead
 
 
-@pytest.mark.parametrize("leave", ["ends", "resets"])
-def test_client_that_left_during_the_first_attempt_causes_no_second_one(leave):
+@pytest.mark.parametrize("departure", ["ends", "resets"])
+def test_client_that_left_during_the_first_attempt_causes_no_second_one(departure):
     """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
     server = Runner("s-0")
     server.held = True
@@ -54,12 +54,12 @@
         connection.sendall(b"BUSY\r\n")
         await gate.reached.wait()
         state.placement_scope = trio.CancelScope()  # as if `watch` ran later; only a poll detects the end
-        if leave == "ends":
+        if departure == "ends":
             await client.stream.send_eof()
         else:
             client.reset()
         gate.opened.set()
-        if leave == "ends":
+        if departure == "ends":
             await client.read_to_end()
             client.stream.socket.close()
         await harness.wait_until_all_closed()
