--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -8,8 +8,8 @@
 
 import pytest
 import trio
+from frontend_harness import FrontendHarness
 from helpers import SETTINGS as CORE_SETTINGS
-from inside import Inside
 from standins import SETTINGS, WAIT, Client, Runner, until
 
 from aspensaddle.daemon.graceful_shutdown import (
@@ -126,17 +126,17 @@
     server = Runner("s-0")
 
     async def scenario(harness):
-        peers = [await harness.client() for _ in range(60)]
+        peers = [await harness.connect() for _ in range(60)]
         for peer in peers:
             if data:
                 await peer.send(data)
-        harness.nursery.start_soon(harness.end)
+        harness.nursery.start_soon(harness.terminate)
         for peer in peers:
-            assert re.fullmatch(rb"BUSY( \d+)?\r\n", await peer.rest()) and not peer.was_reset
+            assert re.fullmatch(rb"BUSY( \d+)?\r\n", await peer.read_to_end()) and not peer.was_reset
             peer.stream.socket.close()
-        await harness.gone()
+        await harness.wait_until_all_closed()
 
-    Inside([server]).run(scenario, accepting=False)
+    FrontendHarness([server]).run(scenario, accepting=False)
     assert not server.first_lines
 
 
@@ -206,17 +206,17 @@
     server = Runner("s-0")
 
     async def scenario(harness):
-        peers = [await harness.asks() for _ in range(5)]
+        peers = [await harness.send_open() for _ in range(5)]
         for peer in peers:
-            await peer.line()
-        await harness.end()
+            await peer.read_line()
+        await harness.terminate()
         assert not harness.frontend.slots.open
         for peer in peers:
-            assert (await peer.rest()).endswith(b"MOVE\r\n") and not peer.was_reset
+            assert (await peer.read_to_end()).endswith(b"MOVE\r\n") and not peer.was_reset
             peer.stream.socket.close()
         await trio.sleep(0)
 
-    Inside([server]).run(scenario)
+    FrontendHarness([server]).run(scenario)
 
 
 def test_request_in_flight_is_waited_for_until_its_response_is_sent():
@@ -225,24 +225,24 @@
     server.held = True
 
     async def scenario(harness):
-        peer = await harness.asks()
+        peer = await harness.send_open()
         connection, _ = await trio.to_thread.run_sync(server.offered)
         assert harness.frontend.unfinished_connections == harness.frontend.slots.active == 1
-        harness.nursery.start_soon(harness.end)
-        await harness.until(lambda: harness.frontend.migrating_all)
+        harness.nursery.start_soon(harness.terminate)
+        await harness.wait_until(lambda: harness.frontend.migrating_all)
         connection.sendall(b"UP s-0\r\n")
-        assert await peer.rest() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
+        assert await peer.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not peer.was_reset
         # The connection is migrated at once, not only at the answer deadline.
         assert harness.frontend.unfinished_connections == 0 and harness.driver.now() < harness.driver._attempts_end_at
         peer.stream.socket.close()
-        await harness.gone()
+        await harness.wait_until_all_closed()
 
-    Inside([server]).run(scenario)
+    FrontendHarness([server]).run(scenario)
 
 
 def test_request_rejected_as_its_attempt_is_established_is_reported_as_shutting_down():
     server = Runner("s-0")
-    harness = Inside([server])
+    harness = FrontendHarness([server])
     attempt = harness.connector.attempt
 
     async def attempt_and_reject(*args):
@@ -252,10 +252,10 @@
 
     async def scenario(harness):
         harness.connector.attempt = attempt_and_reject
-        peer = await harness.asks()
-        assert (await peer.rest()).startswith(b"BUSY")
+        peer = await harness.send_open()
+        assert (await peer.read_to_end()).startswith(b"BUSY")
         peer.stream.socket.close()
-        await harness.gone()
+        await harness.wait_until_all_closed()
 
     harness.run(scenario)
     assert [fields["reject_reason"] for name, fields in harness.events if name == "request"] == ["shutting_down"]
