--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,9 +1,9 @@
-"""Soak: whole processes of the program on loopback, seeded schedules of trouble, and promises that have to hold."""
+"""Soak test: whole balancer processes on loopback under seeded schedules of disruptions, checked for invariants."""
 
 import sys
 from pathlib import Path
 
-# The stand-ins are modules of tests/, which pytest puts on the path by itself.
+# pytest adds tests/, which contains the stand-ins, to the module search path; `python -m tests.soak` does not.
 TESTS = str(Path(__file__).resolve().parent.parent)
 if TESTS not in sys.path:
     sys.path.append(TESTS)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Makes the trouble of a schedule: signals to balancers, faults of servers and of discovery."""
+"""Applies the steps of a schedule: signals to balancers, faults of servers and of discovery."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from .schedule import BALANCER_ACTIONS, SERVER_ACTIONS, Step
 
 if TYPE_CHECKING:
-    from .player import Run
+    from .harness import Harness
     from .processes import BalancerProcess
     from .servers import SoakServer
 
-RETURN_SECONDS = 1.0  # at least, before a server that left comes back
+MIN_ABSENCE_SECONDS = 1.0  # shortest time for which a server stays out of the endpoint list
 FIRST_REVISION = 1
-LATE_BEFORE_DRAIN_SECONDS = 1.0
-LATE_SECONDS = 1.4  # the system tries a connection again 1 and 3 s after its first try
+DELAY_BEFORE_DRAIN_SECONDS = 1.0
+ACCEPT_DELAY_SECONDS = 1.4  # the kernel retransmits a SYN 1 and 3 s after the first one
 
 
-def make_trouble(run: Run, step: Step, at: float) -> None:
-    """Wait for a time of the record, and do what the step says."""
-    time.sleep(max(0.0, at - run.record.now()))
+def apply_step(harness: Harness, step: Step, at: float) -> None:
+    """Wait until the time `at` of the record, and apply the step."""
+    time.sleep(max(0.0, at - harness.record.now()))
     if step.action in BALANCER_ACTIONS:
-        _trouble_balancers(run, step)
+        _apply_balancer_step(harness, step)
     elif step.action in SERVER_ACTIONS:
-        _trouble_server(run, step)
+        _apply_server_step(harness, step)
     else:
-        _trouble_discovery(run, step)
+        _apply_discovery_step(harness, step)
 
 
-def _trouble_balancers(run: Run, step: Step) -> None:
-    balancers = run.balancers if step.action == "rolling_restart" else [run.balancers[step.target]]
+def _apply_balancer_step(harness: Harness, step: Step) -> None:
+    balancers = harness.balancers if step.action == "rolling_restart" else [harness.balancers[step.target]]
     for balancer in balancers:
-        with balancer.lock:
-            _trouble_balancer(run, balancer, step.action)
+        with balancer.disruption_lock:
+            _apply_to_balancer(harness, balancer, step.action)
 
 
-def _trouble_balancer(run: Run, balancer: BalancerProcess, action: str) -> None:
+def _apply_to_balancer(harness: Harness, balancer: BalancerProcess, action: str) -> None:
     if action == "reload_twice":
         balancer.reload_twice()
         return
@@ -47,63 +47,65 @@
         if action == "reload_and_restart":
             balancer.reload_twice()
         balancer.terminate(twice=action == "restart_twice")
-    if action == "early":
-        balancer.terminate_early()
+    if action == "terminate_during_start":
+        balancer.terminate_during_start()
     balancer.start()
-    run.adopt(balancer)
+    harness.start_adoptions(balancer)
 
 
-def _trouble_server(run: Run, step: Step) -> None:
-    server = run.servers[step.target]
-    with server.trouble:
+def _apply_server_step(harness: Harness, step: Step) -> None:
+    server = harness.servers[step.target]
+    with server.disruption_lock:
         if step.action.startswith("drain"):
-            _drain(run, server, step)
-        elif step.action == "late_and_drain":
-            _drain_with_late_connections(run, server, step)
+            _drain(harness, server, step)
+        elif step.action == "delayed_accepts_and_drain":
+            _drain_with_delayed_accepts(harness, server, step)
         elif step.action == "leave":
-            _leave(run, server, step)
+            _leave(harness, server, step)
         else:
-            run.record.add(ServerFault(run.record.now(), server.uid, step.action, run.record.now() + step.seconds))
+            harness.record.add(
+                ServerFault(harness.record.now(), server.uid, step.action, harness.record.now() + step.seconds)
+            )
             server.fault = step.action
             time.sleep(step.seconds)
             server.fault = ""
 
 
-def _drain(run: Run, server: SoakServer, step: Step) -> None:
-    """A drain, until the server leaves and comes back as a new process."""
-    run.discovery.change(server, "leaving")
-    if step.action == "drain_and_send_away":
-        server.end_connections(by_move=True)
+def _drain(harness: Harness, server: SoakServer, step: Step) -> None:
+    """Drain a server; after the step's time it leaves, and returns as a new process."""
+    harness.discovery.change(server, "leaving")
+    if step.action == "drain_and_migrate":
+        server.end_connections(by_migration=True)
     time.sleep(step.seconds)
-    _leave(run, server, step)
+    _leave(harness, server, step)
 
 
-def _drain_with_late_connections(run: Run, server: SoakServer, step: Step) -> None:
-    """Connections that were begun right before a drain come up after its grace."""
+def _drain_with_delayed_accepts(harness: Harness, server: SoakServer, step: Step) -> None:
+    """Let connections that were started right before a drain be accepted after the drain grace."""
     fillers = server.pause_accepts()
-    time.sleep(LATE_BEFORE_DRAIN_SECONDS)
-    run.discovery.change(server, "leaving")
-    time.sleep(LATE_SECONDS)
+    time.sleep(DELAY_BEFORE_DRAIN_SECONDS)
+    harness.discovery.change(server, "leaving")
+    time.sleep(ACCEPT_DELAY_SECONDS)
     server.resume_accepts(fillers)
-    time.sleep(LATE_SECONDS)
-    _leave(run, server, step)
+    time.sleep(ACCEPT_DELAY_SECONDS)
+    _leave(harness, server, step)
 
 
-def _leave(run: Run, server: SoakServer, step: Step) -> None:
-    run.discovery.change(server, "left")
-    server.end_connections(by_move=False)
-    time.sleep(max(RETURN_SECONDS, step.seconds))
+def _leave(harness: Harness, server: SoakServer, step: Step) -> None:
+    harness.discovery.change(server, "left")
+    server.end_connections(by_migration=False)
+    time.sleep(max(MIN_ABSENCE_SECONDS, step.seconds))
     server.started_ms = int(time.time() * 1000)
-    run.discovery.change(server, "active")
+    harness.discovery.change(server, "active")
 
 
-def _trouble_discovery(run: Run, step: Step) -> None:
-    discovery = run.discovery
+def _apply_discovery_step(harness: Harness, step: Step) -> None:
+    discovery = harness.discovery
     if step.action == "lower_revision":
         discovery.end_watches(FIRST_REVISION)
         return
-    with discovery.trouble:
-        run.record.add(DiscoveryFault(run.record.now(), step.action, run.record.now() + step.seconds))
+    with discovery.disruption_lock:
+        harness.record.add(DiscoveryFault(harness.record.now(), step.action, harness.record.now() + step.seconds))
         discovery.fault = step.action
         if step.action != "silent":
             discovery.end_watches()
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,4 +1,4 @@
-"""What the outside saw of a run: typed events with their times, in seconds since the run began."""
+"""Record of a run: typed events seen from outside the balancers, with times in seconds since the run began."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened at a time."""
+    """An event and its time."""
 
     at: float
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStarted(Event):
-    """A process of a balancer was started; `process` is its number in the run."""
+    """A balancer process was started; `process` is its number in the run."""
 
     process: int
     balancer: str
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessReady(Event):
-    """It answered PING with PONG."""
+    """A process answered PING with PONG for the first time."""
 
     process: int
 
 
 @dataclass(frozen=True, slots=True)
 class SignalSent(Event):
-    """A signal by its name; `is_planned_kill` where SIGKILL follows SIGTERM after the page's time."""
+    """A signal was sent; `is_planned_kill` marks the SIGKILL that follows SIGTERM after the documented time."""
 
     process: int
     signal: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessExited(Event):
-    """It exited; `internal_errors` are those that its log counted."""
+    """A process exited; `internal_errors` is the number of internal errors in its log."""
 
     process: int
     code: int
@@ -50,54 +50,54 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessMeasured(Event):
-    """What a process held, at some time and, with `is_quiet`, after all clients had left."""
+    """Resource usage of a process; `without_clients` marks a sample that was taken after all clients had left."""
 
     process: int
     descriptors: int
     memory_bytes: int
-    is_quiet: bool = False
+    without_clients: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSent(Event):
-    """The last byte of an OPEN was written. `wait` is its d in seconds.
+    """The last byte of an OPEN was written. `deadline` is its field d, in seconds.
 
-    With `on_answered_connection` it was sent on a connection that had got its answer, and is owed none.
+    With `after_response` it was sent on a connection that had already received its response; none is due.
     """
 
     request_id: str
     process: int
     class_name: str
-    wait: float
+    deadline: float
     adopted_server: str | None = None
-    on_answered_connection: bool = False
+    after_response: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseReceived(Event):
-    """A whole line came as the answer."""
+    """A client received a complete line as the response."""
 
     request_id: str
     line: str
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionMoved(Event):
-    """An open connection was sent MOVE."""
+class ConnectionMigrated(Event):
+    """A client received MOVE on an established connection."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionStale(Event):
-    """An open connection had brought nothing back for longer than the page allows."""
+    """An established connection has echoed nothing for longer than PROTOCOL allows."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded(Event):
-    """A client's connection ended."""
+    """A client connection ended; `by_client` tells whether the client closed it."""
 
     request_id: str
     by_client: bool
@@ -106,24 +106,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptReceived(Event):
-    """A server read the first byte of a first line at this time."""
+    """A server received the first byte of a request line."""
 
     request_id: str
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptAnswered(Event):
-    """A server decided on an attempt: the first word of its answer, or what it did instead."""
+class AttemptHandled(Event):
+    """A server handled an attempt; `outcome` is the first word of its response, or the fault injected instead."""
 
     request_id: str
     server: str
-    answer: str
+    outcome: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEndedConnection(Event):
-    """A server ended an open connection."""
+    """A server ended an established connection."""
 
     request_id: str
     server: str
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerFault(Event):
-    """A server misbehaves until `until`."""
+    """A fault of a server began, and lasts until `until`."""
 
     server: str
     fault: str
@@ -140,15 +140,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointChanged(Event):
-    """The list changed: active, leaving or left."""
+    """The state of a server in the endpoint list changed to active, leaving or left."""
 
     server: str
     state: str
 
 
 @dataclass(frozen=True, slots=True)
-class UpdateWritten(Event):
-    """Discovery wrote to a balancer that a server is in a state."""
+class EndpointUpdateSent(Event):
+    """Discovery sent the state of a server to a balancer."""
 
     balancer: str
     server: str
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryFault(Event):
-    """Discovery misbehaves until `until`; it can be reached by nobody then, unless its watches only fall silent."""
+    """A fault of discovery began, and lasts until `until`; unless it is `silent`, no balancer can fetch the list."""
 
     fault: str
     until: float
@@ -168,23 +168,23 @@
 
 @dataclass(slots=True)
 class Record:
-    """The events of one run, and how late the harness itself was, in seconds."""
+    """The events of one run; `harness_lag` is the largest scheduling delay of the harness itself, in seconds."""
 
     events: list[Event] = field(default_factory=list)
     harness_lag: float = 0.0
-    has_crowd: bool = False
+    has_idle_clients: bool = False
     started_at: float = field(default_factory=time.monotonic)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def now(self) -> float:
-        """Return the seconds since the run began."""
+        """Return the time in seconds since the run began."""
         return time.monotonic() - self.started_at
 
     def add(self, event: Event) -> None:
-        """Add an event, from any thread."""
+        """Add an event; safe to call from any thread."""
         with self._lock:
             self.events.append(event)
 
-    def of(self, kind: type[EventType]) -> list[EventType]:
-        """Return the events of a kind, by time."""
-        return sorted((event for event in self.events if isinstance(event, kind)), key=lambda event: event.at)
+    def events_of(self, event_type: type[EventType]) -> list[EventType]:
+        """Return the events of a type, sorted by time."""
+        return sorted((event for event in self.events if isinstance(event, event_type)), key=lambda event: event.at)
