--- a/aspensaddle/conformance/__init__.py
+++ b/aspensaddle/conformance/__init__.py
@@ -1,4 +1,4 @@
-"""The conformance suite of the QUIC front: stand-ins, a link that can be made bad, and numbered cases.
+"""The conformance suite of the QUIC front end: stand-in clients and servers, lossy links, and numbered cases.
 
 python -m aspensaddle.conformance [--quick] [--only WORD] [--json FILE] [--seed N]
 """
--- a/aspensaddle/conformance/cases/__init__.py
+++ b/aspensaddle/conformance/cases/__init__.py
@@ -1,1 +1,1 @@
-"""The cases, by document."""
+"""The cases, in modules by document and section."""
--- a/aspensaddle/conformance/cases/protected_packets.py
+++ b/aspensaddle/conformance/cases/protected_packets.py
@@ -1,4 +1,4 @@
-"""RFC 9001: what can be opened, and what must not be believed."""
+"""RFC 9001: packets under wrong keys, and replies that the client's keys do not authenticate."""
 
 import os
 
@@ -19,99 +19,116 @@
 from aspensaddle.frontends.quic.initial import INTERNAL_ERROR
 from aspensaddle.frontends.quic.packets import parse_long_header_packets
 
-LONE = TestbedSetup(modes=(ServerMode.SILENT,), reply=0.5, deadline=2.0)
+SILENT_SERVER = TestbedSetup(modes=(ServerMode.SILENT,), reply_timeout=0.5, deadline=2.0)
 
 
-@case("9001-5.2", "An Initial under the keys of another id opens nothing")
-def wrong_initial_keys(testbed: Testbed) -> None:
+@case("9001-5.2", "An Initial under the keys of another connection ID opens no connection")
+def keys_of_another_cid(testbed: Testbed) -> None:
     frames = client_hello_frame()
-    testbed.check(not opens_connection(testbed, initial_packet(testbed.id, frames, keys_from=b"other-id")), "dropped")
+    testbed.check(
+        not opens_connection(testbed, initial_packet(testbed.dcid, frames, keys_dcid=b"other-id")),
+        "the Initial dropped",
+    )
 
 
-@case("9001-5.2", "An Initial under a server's keys opens nothing")
+@case("9001-5.2", "An Initial under a server's keys opens no connection")
 def server_keys(testbed: Testbed) -> None:
     frames = client_hello_frame()
-    testbed.check(not opens_connection(testbed, initial_packet(testbed.id, frames, server=True)), "dropped")
+    testbed.check(
+        not opens_connection(testbed, initial_packet(testbed.dcid, frames, from_server=True)), "the Initial dropped"
+    )
 
 
-@case("9001-5.3", "An Initial with any bit changed opens nothing")
-def tampered(testbed: Testbed) -> None:
-    data = initial_packet(testbed.id, client_hello_frame())
+@case("9001-5.3", "An Initial with any bit changed opens no connection")
+def changed_initial(testbed: Testbed) -> None:
+    data = initial_packet(testbed.dcid, client_hello_frame())
     for at in (1, 6, 25, 200, 1199):
         testbed.check(
-            not opens_connection(testbed, data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :]), f"octet {at}"
+            not opens_connection(testbed, data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :]),
+            f"an Initial with a change in byte {at} dropped",
         )
 
 
-def _speaks(testbed: Testbed, say: bytes) -> None:
-    """Have the lone runner, whoever asks, say something made by hand."""
+def _replace_replies(testbed: Testbed, datagram: bytes) -> None:
+    """Make the only server reply to every datagram with this one."""
     server = testbed.servers[0]
 
-    def received(data: bytes, source: Address) -> None:
-        testbed.net.send(server, say, source)
+    def reply(data: bytes, source: Address) -> None:
+        testbed.net.send(server, datagram, source)
 
-    server.received = received  # type: ignore[method-assign]
+    server.handle_datagram = reply  # type: ignore[method-assign]
 
 
-def _unspeak(testbed: Testbed) -> None:
-    del testbed.servers[0].received
+def _restore_replies(testbed: Testbed) -> None:
+    """Make the only server handle datagrams itself again."""
+    del testbed.servers[0].handle_datagram
 
 
-@case("9001-5.2", "A reply that does not open under the client's keys does not count as the runner's", LONE)
+@case("9001-5.2", "A reply that the client's keys do not decrypt does not count as the server's", SILENT_SERVER)
 def forged_reply(testbed: Testbed) -> None:
-    _speaks(
+    _replace_replies(
         testbed,
         initial_packet(
             CLIENT_CONNECTION_ID,
             crypto_frame(0, b"\x02" + bytes(90)),
             scid=b"server-id",
-            keys_from=b"guessed",
-            server=True,
+            keys_dcid=b"guessed",
+            from_server=True,
         ),
     )
     raw = testbed.raw_endpoint()
-    raw.send(initial_packet(testbed.id, client_hello_frame()), testbed.address)
-    testbed.run(LONE.deadline + 0.5)
-    _unspeak(testbed)
-    testbed.check(testbed.counted("quic placed") == 0 and len(raw.got) == 1, "not placed, and answered by the front")
+    raw.send(initial_packet(testbed.dcid, client_hello_frame()), testbed.address)
+    testbed.run(SILENT_SERVER.deadline + 0.5)
+    _restore_replies(testbed)
+    testbed.check(
+        testbed.counter_increase("quic placed") == 0 and len(raw.received_datagrams) == 1,
+        "no established session, and a response of the front end",
+    )
 
 
-@case("9001-5.2", "A close that does not open under the client's keys ends no attempt", LONE)
+@case("9001-5.2", "A close that the client's keys do not decrypt ends no attempt", SILENT_SERVER)
 def forged_close(testbed: Testbed) -> None:
     frames = connection_close_frame(INTERNAL_ERROR)
-    _speaks(
-        testbed, initial_packet(CLIENT_CONNECTION_ID, frames, scid=b"server-id", keys_from=b"guessed", server=True)
+    _replace_replies(
+        testbed,
+        initial_packet(CLIENT_CONNECTION_ID, frames, scid=b"server-id", keys_dcid=b"guessed", from_server=True),
     )
     raw = testbed.raw_endpoint()
-    raw.send(initial_packet(testbed.id, client_hello_frame()), testbed.address)
+    raw.send(initial_packet(testbed.dcid, client_hello_frame()), testbed.address)
     testbed.run(0.3)
-    _unspeak(testbed)
-    testbed.check(testbed.counted("quic attempts error") == 0 and not raw.got, "the attempt is still out")
-    testbed.run(LONE.deadline)
+    _restore_replies(testbed)
+    testbed.check(
+        testbed.counter_increase("quic attempts error") == 0 and not raw.received_datagrams,
+        "the attempt still in progress",
+    )
+    testbed.run(SILENT_SERVER.deadline)
 
 
-@case("9001-5.8", "A runner's Retry without the right tag is not passed on", LONE)
+@case("9001-5.8", "A server's Retry with a wrong integrity tag is not forwarded", SILENT_SERVER)
 def forged_retry(testbed: Testbed) -> None:
-    _speaks(testbed, encode_quic_retry(1, os.urandom(17), CLIENT_CONNECTION_ID, b"another id", b"token"))
+    _replace_replies(testbed, encode_quic_retry(1, os.urandom(17), CLIENT_CONNECTION_ID, b"another id", b"token"))
     raw = testbed.raw_endpoint()
-    raw.send(initial_packet(testbed.id, client_hello_frame()), testbed.address)
-    testbed.run(LONE.deadline + 0.5)
-    _unspeak(testbed)
+    raw.send(initial_packet(testbed.dcid, client_hello_frame()), testbed.address)
+    testbed.run(SILENT_SERVER.deadline + 0.5)
+    _restore_replies(testbed)
     testbed.check(
-        all(p.type.name != "RETRY" for d in raw.got for p in parse_long_header_packets(d)),
-        "no Retry reaches the client",
+        all(p.type.name != "RETRY" for d in raw.received_datagrams for p in parse_long_header_packets(d)),
+        "no Retry at the client",
     )
 
 
-@case("9001-5.8", "A runner's second Retry is not passed on", LONE)
+@case("9001-5.8", "A server's second Retry is not forwarded", SILENT_SERVER)
 def second_retry(testbed: Testbed) -> None:
-    _speaks(testbed, encode_quic_retry(1, testbed.servers[0].issue(), CLIENT_CONNECTION_ID, testbed.id, b"token"))
+    _replace_replies(
+        testbed, encode_quic_retry(1, testbed.servers[0].issue(), CLIENT_CONNECTION_ID, testbed.dcid, b"token")
+    )
     raw = testbed.raw_endpoint()
     for number in range(3):
-        raw.send(initial_packet(testbed.id, client_hello_frame(), number=number), testbed.address)
+        raw.send(initial_packet(testbed.dcid, client_hello_frame(), number=number), testbed.address)
     testbed.run(0.5)
-    _unspeak(testbed)
+    _restore_replies(testbed)
     testbed.check(
-        sum(p.type.name == "RETRY" for d in raw.got for p in parse_long_header_packets(d)) == 1, "one of them"
+        sum(p.type.name == "RETRY" for d in raw.received_datagrams for p in parse_long_header_packets(d)) == 1,
+        "one Retry at the client",
     )
-    testbed.run(LONE.deadline)
+    testbed.run(SILENT_SERVER.deadline)
--- a/aspensaddle/conformance/frontend.py
+++ b/aspensaddle/conformance/frontend.py
@@ -1,4 +1,4 @@
-"""The front end under test, as the cases see it: a process or an engine without sockets."""
+"""The interface between the cases and the front end under test, which is a process or an engine without sockets."""
 
 from __future__ import annotations
 
@@ -6,17 +6,24 @@
 
 from aspensaddle.conformance.net import Address
 
-CLASSES = {"test-run": 0, "draft-save": 1}  # request classes by name, with their index
+REQUEST_CLASSES = {"test-run": 0, "draft-save": 1}  # indexes of the request classes by name
 
 
-def platform_settings(deadline: float = 3.0, **more: Any) -> dict[str, Any]:
-    """Return balancer settings as the platform writes them; `deadline` in seconds."""
-    lanes = [{"name": name, "aim": 0.3, "deadline": deadline, "repeat": "pure", "worth": 1.0} for name in CLASSES]
+def platform_settings(deadline: float = 3.0, **overrides: Any) -> dict[str, Any]:
+    """Return balancer settings in the platform's format.
+
+    Args:
+        deadline: the deadline of both request classes, in seconds.
+        overrides: settings that replace those below.
+    """
+    classes = [
+        {"name": name, "aim": 0.3, "deadline": deadline, "repeat": "pure", "worth": 1.0} for name in REQUEST_CLASSES
+    ]
     return {
         "discovery": "pushed",
         "failure-domains": ["here"],
         "fleet-size": 1,
-        "lanes": lanes,
+        "lanes": classes,
         "family-info": {"groups": True, "message-aim": [0.15, 0.15]},
         "guarantees": {"drain-grace": 2.0, "warm-after": 0.0},
         "limits": {
@@ -26,12 +33,12 @@
             "max-retry-after": 1.0,
             "cancel": True,
         },
-        **more,
+        **overrides,
     }
 
 
 class Frontend(Protocol):
-    """A front end with its balancer. `address` is where clients send their datagrams."""
+    """A front end with its balancer. Clients send their datagrams to `address`."""
 
     address: Address
 
@@ -39,13 +46,13 @@
         """Replace the whole endpoint list."""
 
     def configure(self, toml: str) -> bool:
-        """Load another operator's file; return whether it was accepted."""
+        """Load other QUIC settings, the text of a quic.toml; return whether they were accepted."""
 
     def counts(self) -> dict[str, int]:
-        """Return the counters."""
+        """Return the counters by name."""
 
     def restart(self) -> None:
-        """Stop without a shutdown and start anew, with the same files and address."""
+        """Stop without a graceful shutdown and start again with the same files and address."""
 
     def close(self) -> None:
-        """Stop without a shutdown."""
+        """Stop without a graceful shutdown."""
--- a/aspensaddle/conformance/net.py
+++ b/aspensaddle/conformance/net.py
@@ -1,6 +1,7 @@
-"""Networks of endpoints: UDP sockets on the loopback in real time, or no sockets and simulated time.
+"""Networks: UDP sockets on the loopback interface in real time, or simulated time without sockets.
 
-Both have one thread and deliver datagrams and run timers until a condition holds.
+Both run in one thread, and deliver datagrams and run timers until a condition holds. An endpoint is anything with a
+UDP address here: a client, a server or a front end.
 """
 
 from __future__ import annotations
@@ -17,203 +18,212 @@
 from aspensaddle.conformance.link import Link
 
 Address = tuple[str, int]
-HOP = 0.0002  # seconds from one end to the other without sockets
+HOP_DELAY_SECONDS = 0.0002  # from one endpoint to another in a network without sockets
 
 
 class Endpoint(Protocol):
-    """Something with an address. Its datagrams pass `link_in` and `link_out`."""
+    """A client, server or front end with a UDP address. Its datagrams pass through `link_in` and `link_out`."""
 
     address: Address
     link_in: Link
     link_out: Link
 
-    def received(self, data: bytes, source: Address) -> None:
+    def handle_datagram(self, data: bytes, source: Address) -> None:
         """Handle a datagram."""
 
-    def timer(self) -> float | None:
-        """Return the time of the next timer in seconds, None if there is none."""
+    def next_timer(self) -> float | None:
+        """Return the time of the next timer in seconds, or None if there is none."""
 
-    def expired(self) -> None:
+    def run_timers(self) -> None:
         """Run the timers that are due."""
 
 
 class Net:
-    """Endpoints, links and timers. Time only goes forward."""
+    """Delivers datagrams between endpoints, through their links, and runs their timers."""
 
     def __init__(self) -> None:
         """Create a network without endpoints."""
-        self.ends: list[Endpoint] = []
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = count()
+        self.endpoints: list[Endpoint] = []
+        self._scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = count()
 
     def now(self) -> float:
-        """Return the time in seconds."""
+        """Return the time in seconds, which never decreases."""
         raise NotImplementedError
 
-    def bind(self, end: Endpoint) -> None:
-        """Give an endpoint an address; one that has one gets another, as after a change of network."""
+    def bind(self, endpoint: Endpoint) -> None:
+        """Give an endpoint an address, or another one, as after a change of network."""
         raise NotImplementedError
 
-    def drop(self, end: Endpoint) -> None:
-        """Remove an endpoint."""
-        if end in self.ends:
-            self.ends.remove(end)
+    def remove(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint and its addresses, if it has any."""
+        if endpoint in self.endpoints:
+            self.endpoints.remove(endpoint)
 
-    def _carry(self, source: Endpoint, data: bytes, to: Address) -> None:
+    def _transmit(self, source: Endpoint, data: bytes, destination: Address) -> None:
         raise NotImplementedError
 
-    def _idle(self, until: float) -> None:
-        """Let time pass, at most until then."""
+    def _wait_until(self, until: float) -> None:
+        """Wait until the time `until`, or less long if a datagram arrives."""
         raise NotImplementedError
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call `call` in `delay` seconds."""
-        heappush(self._due, (self.now() + delay, next(self._count), call))
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
+        """Call `callback` in `delay` seconds."""
+        heappush(self._scheduled_calls, (self.now() + delay, next(self._sequence), callback))
 
-    def send(self, source: Endpoint, data: bytes, to: Address) -> None:
-        """Send a datagram through the link of its source."""
-        for delay, copy in source.link_out.pass_on(data):
+    def send(self, source: Endpoint, data: bytes, destination: Address) -> None:
+        """Send a datagram through the outgoing link of its source."""
+        for delay, copy in source.link_out.transmit(data):
             if delay > 0:
-                self.later(delay, lambda copy=copy: self._carry(source, copy, to))  # type: ignore[misc]
+                self.call_later(delay, lambda copy=copy: self._transmit(source, copy, destination))  # type: ignore[misc]
             else:
-                self._carry(source, copy, to)
+                self._transmit(source, copy, destination)
 
-    def arrive(self, end: Endpoint, data: bytes, source: Address) -> None:
-        """Deliver a datagram through the link of its destination."""
-        for delay, copy in end.link_in.pass_on(data):
+    def deliver(self, endpoint: Endpoint, data: bytes, source: Address) -> None:
+        """Deliver a datagram through the incoming link of its destination."""
+        for delay, copy in endpoint.link_in.transmit(data):
             if delay > 0:
-                self.later(delay, lambda copy=copy: end.received(copy, source))  # type: ignore[misc]
+                self.call_later(delay, lambda copy=copy: endpoint.handle_datagram(copy, source))  # type: ignore[misc]
             else:
-                end.received(copy, source)
+                endpoint.handle_datagram(copy, source)
 
-    def step(self, most: float) -> None:
-        """Do what is due, then let time pass until the next thing is, at most `most` seconds."""
+    def step(self, max_seconds: float) -> None:
+        """Run the calls and timers that are due, then wait for the next one, for at most `max_seconds`."""
         now = self.now()
-        while self._due and self._due[0][0] <= now:
-            heappop(self._due)[2]()
-        for end in list(self.ends):
-            at = end.timer()
+        while self._scheduled_calls and self._scheduled_calls[0][0] <= now:
+            heappop(self._scheduled_calls)[2]()
+        for endpoint in list(self.endpoints):
+            at = endpoint.next_timer()
             if at is not None and at <= now:
-                end.expired()
-        nexts = [at for end in self.ends if (at := end.timer()) is not None]
-        if self._due:
-            nexts.append(self._due[0][0])
-        self._idle(max(now, min([now + most, *nexts])))
-
-    def until(self, done: Callable[[], Any], within: float = 10.0) -> bool:
-        """Go on until `done` holds; return whether it did within the time, in seconds."""
-        end = self.now() + within
-        while not done():
-            if self.now() >= end:
+                endpoint.run_timers()
+        next_times = [at for endpoint in self.endpoints if (at := endpoint.next_timer()) is not None]
+        if self._scheduled_calls:
+            next_times.append(self._scheduled_calls[0][0])
+        self._wait_until(max(now, min([now + max_seconds, *next_times])))
+
+    def run_until(self, condition: Callable[[], Any], timeout: float = 10.0) -> bool:
+        """Run the network until `condition` holds; return whether it did within `timeout` seconds."""
+        stop_at = self.now() + timeout
+        while not condition():
+            if self.now() >= stop_at:
                 return False
-            self.step(min(0.05, end - self.now()))
+            self.step(min(0.05, stop_at - self.now()))
         return True
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
-        self.until(lambda: False, seconds)
+        """Run the network for some seconds."""
+        self.run_until(lambda: False, seconds)
 
     def close(self) -> None:
-        """Remove all endpoints."""
-        self.ends.clear()
+        """Remove all endpoints and close their sockets."""
+        self.endpoints.clear()
 
 
 class SocketNet(Net):
-    """UDP sockets on the loopback, in real time."""
+    """UDP sockets on the loopback interface, in real time."""
 
     def __init__(self) -> None:
+        """Create a network without endpoints."""
         super().__init__()
         self._sockets: dict[int, tuple[socket.socket, Endpoint]] = {}
         self._epoll = select.epoll()
 
     def now(self) -> float:
+        """Return the time of the monotonic clock."""
         return time.monotonic()
 
-    def bind(self, end: Endpoint) -> None:
-        self.drop(end)
+    def bind(self, endpoint: Endpoint) -> None:
+        """Give an endpoint a socket of its own on a free port."""
+        self.remove(endpoint)
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
-        end.address = sock.getsockname()
-        self._sockets[sock.fileno()] = sock, end
+        endpoint.address = sock.getsockname()
+        self._sockets[sock.fileno()] = sock, endpoint
         self._epoll.register(sock, select.EPOLLIN)
-        self.ends.append(end)
+        self.endpoints.append(endpoint)
 
-    def drop(self, end: Endpoint) -> None:
-        super().drop(end)
+    def remove(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint and close its socket."""
+        super().remove(endpoint)
         for fd, (sock, owner) in list(self._sockets.items()):
-            if owner is end:
+            if owner is endpoint:
                 self._epoll.unregister(sock)
                 del self._sockets[fd]
                 sock.close()
 
-    def _carry(self, source: Endpoint, data: bytes, to: Address) -> None:
+    def _transmit(self, source: Endpoint, data: bytes, destination: Address) -> None:
         for sock, owner in self._sockets.values():
             if owner is source:
-                with suppress(OSError):  # lost, as on any network
-                    sock.sendto(data, to)
+                with suppress(OSError):  # the datagram is lost, as on any network
+                    sock.sendto(data, destination)
                 return
 
-    def _idle(self, until: float) -> None:
+    def _wait_until(self, until: float) -> None:
         for fd, _ in self._epoll.poll(max(0.0, until - self.now())):
             if fd not in self._sockets:
                 continue
-            sock, end = self._sockets[fd]
+            sock, endpoint = self._sockets[fd]
             for _ in range(64):
                 try:
                     data, source = sock.recvfrom(65536)
                 except OSError:
                     break
-                self.arrive(end, data, source)
+                self.deliver(endpoint, data, source)
 
     def close(self) -> None:
-        for _, end in list(self._sockets.values()):
-            self.drop(end)
+        """Remove all endpoints and close their sockets."""
+        for _, endpoint in list(self._sockets.values()):
+            self.remove(endpoint)
         self._epoll.close()
 
 
 class MemoryNet(Net):
-    """No sockets and simulated time: the same run for the same seeds of its links."""
+    """Simulated time without sockets. With the same seeds of its links, it runs the same way."""
 
     def __init__(self) -> None:
+        """Create a network without endpoints."""
         super().__init__()
-        self._now = 1.8e9  # also Unix time, later than any retirement in a case
+        self._now = 1.8e9  # also the Unix time; later than every `retire_at` of the cases
         self._ports = count(10000)
         self._by_address: dict[Address, Endpoint] = {}
 
     def now(self) -> float:
+        """Return the simulated time."""
         return self._now
 
-    def bind(self, end: Endpoint) -> None:
-        self.drop(end)
-        end.address = ("127.0.0.1", next(self._ports))
-        self.claim(end, [end.address])
-        self.ends.append(end)
+    def bind(self, endpoint: Endpoint) -> None:
+        """Give an endpoint an address with a new port."""
+        self.remove(endpoint)
+        endpoint.address = ("127.0.0.1", next(self._ports))
+        self.add_addresses(endpoint, [endpoint.address])
+        self.endpoints.append(endpoint)
 
-    def claim(self, end: Endpoint, addresses: Iterable[Address]) -> None:
+    def add_addresses(self, endpoint: Endpoint, addresses: Iterable[Address]) -> None:
         """Give an endpoint more addresses."""
         for address in addresses:
-            self._by_address[address] = end
+            self._by_address[address] = endpoint
 
-    def drop(self, end: Endpoint) -> None:
-        super().drop(end)
-        self._by_address = {a: e for a, e in self._by_address.items() if e is not end}
+    def remove(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint and its addresses."""
+        super().remove(endpoint)
+        self._by_address = {a: e for a, e in self._by_address.items() if e is not endpoint}
 
-    def _carry(self, source: Endpoint, data: bytes, to: Address) -> None:
-        self.carry(data, source.address, to)
+    def _transmit(self, source: Endpoint, data: bytes, destination: Address) -> None:
+        self.transmit(data, source.address, destination)
 
-    def carry(self, data: bytes, source: Address, to: Address) -> None:
-        """Deliver a datagram from `source`, whether or not an endpoint has that address."""
+    def transmit(self, data: bytes, source: Address, destination: Address) -> None:
+        """Carry a datagram from `source` to `destination`; it is lost if no endpoint has that address."""
 
-        def land() -> None:
-            if (end := self._by_address.get(to)) is not None:
-                self.arrive(end, data, source)
+        def arrive() -> None:
+            if (endpoint := self._by_address.get(destination)) is not None:
+                self.deliver(endpoint, data, source)
 
-        self.later(HOP, land)
+        self.call_later(HOP_DELAY_SECONDS, arrive)
 
-    def reaches(self, to: Address) -> bool:
+    def has_address(self, destination: Address) -> bool:
         """Return whether an endpoint has the address."""
-        return to in self._by_address
+        return destination in self._by_address
 
-    def _idle(self, until: float) -> None:
+    def _wait_until(self, until: float) -> None:
         self._now = max(self._now, until)
--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -1,4 +1,4 @@
-"""The program under test as a process."""
+"""The front end under test as a process of the real program."""
 
 from __future__ import annotations
 
@@ -17,28 +17,31 @@
 from aspensaddle.conformance.frontend import platform_settings
 
 REPOSITORY = Path(__file__).resolve().parents[2]
-READY_TIMEOUT = 20.0  # s
-MAX_STARTS = 5  # with a choice of ports each
+READY_TIMEOUT_SECONDS = 20.0
+MAX_START_ATTEMPTS = 5  # each with other ports
 
 
-class PortTakenError(Exception):
-    """Another process took a port between its choice and the start of the program; `log` is what that printed."""
+class PortInUseError(Exception):
+    """Another process took a port after it was chosen and before the program started.
+
+    `log` is the output of the program.
+    """
 
     def __init__(self, log: str) -> None:
-        """Keep the log."""
+        """Store the program's output."""
         super().__init__(log)
         self.log = log
 
 
 def free_port(kind: socket.SocketKind) -> int:
-    """Return a port of the loopback that is free now. Another process may take it before it is used."""
-    with socket.socket(socket.AF_INET, kind) as s:
-        s.bind(("127.0.0.1", 0))
-        return int(s.getsockname()[1])
+    """Return a port that is free on the loopback interface now. Another process may take it before it is used."""
+    with socket.socket(socket.AF_INET, kind) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
 class ProcessFrontend:
-    """`python -m aspensaddle` on free ports, with files in a folder of its own."""
+    """A process `python -m aspensaddle` on free ports, with its files in a directory of its own."""
 
     def __init__(
         self,
@@ -48,26 +51,26 @@
         deadline: float = 3.0,
         name: str = "n0",
         files: dict[str, str] | None = None,
-        pump: Callable[[Callable[[], Any], float], bool] | None = None,
+        run_until: Callable[[Callable[[], Any], float], bool] | None = None,
     ) -> None:
         """Start the program and wait until its QUIC front end listens.
 
         Args:
-            folder: where the files and the log go.
-            toml: the operator's file; `LISTEN` in it stands for the address.
-            targets: the endpoint list, as discovery writes it.
-            deadline: of requests, in seconds.
+            folder: the directory of the files and the log.
+            toml: the text of quic.toml; `LISTEN` in it is replaced by the address.
+            targets: the endpoint list in discovery's format.
+            deadline: the deadline of requests, in seconds.
             name: the balancer's name.
-            files: more files for the folder, by name.
-            pump: keeps the other ends going until a condition holds, for at most some seconds.
+            files: the texts of more files in the directory, by name.
+            run_until: runs the other endpoints of the network until a condition holds, for at most some seconds.
 
         Raises:
-            PortTakenError: other processes took its ports in each of several starts.
-            RuntimeError: the program ended; the text is its log.
-            TimeoutError: it was not ready in time.
+            PortInUseError: other processes took the ports at each of several attempts to start.
+            RuntimeError: the program exited; the text is its output.
+            TimeoutError: the program did not start in time.
         """
         folder.mkdir(parents=True, exist_ok=True)
-        self.folder, self._pump = folder, pump
+        self.folder, self._run_until = folder, run_until
         self._config: dict[str, Any] = {
             "name": name,
             "seed": name,
@@ -81,17 +84,17 @@
         self._process = self._start_on_free_ports(toml)
 
     def _start_on_free_ports(self, toml: str) -> subprocess.Popen[bytes]:
-        """Start the program; with other ports if another process takes one of them meanwhile."""
-        for remaining in reversed(range(MAX_STARTS)):
+        """Start the program, again with other ports if another process has taken one of them in the meantime."""
+        for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
             self.address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
             self._config["listen"] = f"127.0.0.1:{free_port(socket.SOCK_STREAM)}"
             self._write(toml)
             try:
                 return self._start()
-            except PortTakenError:
-                if not remaining:
+            except PortInUseError:
+                if not attempts_left:
                     raise
-        raise ValueError(f"MAX_STARTS must be positive, not {MAX_STARTS}")
+        raise ValueError(f"MAX_START_ATTEMPTS must be positive, not {MAX_START_ATTEMPTS}")
 
     def _write(self, toml: str | None = None) -> None:
         if toml is not None:
@@ -100,54 +103,57 @@
         (self.folder / "new.json").replace(self.folder / "config.json")
 
     def _start(self) -> subprocess.Popen[bytes]:
-        environ = {
+        environment = {
             **os.environ,
             "LB_CONFIG": str(self.folder / "config.json"),
             "ASPENSADDLE_QUIC": str(self.folder / "quic.toml"),
             "ASPENSADDLE_STORE": str(self.folder / "no-store.toml"),
         }
         for name in ("LB_NAME", "LB_LISTEN", "LB_DISCOVERY"):
-            environ.pop(name, None)
+            environment.pop(name, None)
         self._log.write_bytes(b"")
         with self._log.open("ab") as log:
             process = subprocess.Popen(
-                [sys.executable, "-m", "aspensaddle"], cwd=REPOSITORY, env=environ, stdout=log, stderr=log
+                [sys.executable, "-m", "aspensaddle"], cwd=REPOSITORY, env=environment, stdout=log, stderr=log
             )
         self._wait(lambda: self.events("quic started") or process.poll() is not None)
         if process.poll() is not None:
-            printed = self._log.read_text()
-            raise PortTakenError(printed) if "Address already in use" in printed else RuntimeError(printed)
+            output = self._log.read_text()
+            raise PortInUseError(output) if "Address already in use" in output else RuntimeError(output)
         return process
 
-    def _wait(self, done: Callable[[], Any]) -> Any:
-        """Wait for what the process writes, while the other ends go on."""
-        if self._pump is not None:
-            self._pump(done, READY_TIMEOUT)
-        end = time.monotonic() + READY_TIMEOUT
-        while not (value := done()):
-            if time.monotonic() > end:
-                raise TimeoutError(f"not in time: {self._log.read_text()[-2000:]}")
+    def _wait(self, condition: Callable[[], Any]) -> Any:
+        """Wait for output of the process while the network goes on; return the value of `condition`."""
+        if self._run_until is not None:
+            self._run_until(condition, READY_TIMEOUT_SECONDS)
+        stop_at = time.monotonic() + READY_TIMEOUT_SECONDS
+        while not (value := condition()):
+            if time.monotonic() > stop_at:
+                raise TimeoutError(
+                    f"no expected log event within {READY_TIMEOUT_SECONDS} s: {self._log.read_text()[-2000:]}"
+                )
             time.sleep(0.01)
         return value
 
     def events(self, *names: str) -> list[dict[str, Any]]:
-        """Return the log's events of these names, in their order."""
-        found = []
+        """Return the log's events with these names, in their order."""
+        matching = []
         for line in self._log.read_bytes().split(b"\n")[:-1]:
             event = orjson.loads(line) if line.startswith(b"{") else {}
             if event.get("event") in names:
-                found.append(event)
-        return found
+                matching.append(event)
+        return matching
 
     def _signal_and_wait(self, number: signal.Signals, *names: str) -> dict[str, Any]:
-        seen = len(self.events(*names))
+        """Send a signal and return the first log event after it with one of these names."""
+        known = len(self.events(*names))
         self._process.send_signal(number)
-        event: dict[str, Any] = self._wait(lambda: self.events(*names)[seen:])[0]
+        event: dict[str, Any] = self._wait(lambda: self.events(*names)[known:])[0]
         return event
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """The process ID."""
         return self._process.pid
 
     def replace_endpoints(self, targets: list[dict[str, Any]]) -> None:
@@ -157,14 +163,14 @@
         self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")
 
     def configure(self, toml: str) -> bool:
-        """Load another operator's file; return whether it was accepted."""
+        """Load other QUIC settings, the text of a quic.toml; return whether they were accepted."""
         self._write(toml)
         return bool(
             self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")["event"] == "config_reloaded"
         )
 
     def counts(self) -> dict[str, int]:
-        """Return the counters."""
+        """Return the counters by name."""
         counts: dict[str, int] = self._signal_and_wait(signal.SIGUSR1, "counters_reported")["counts"]
         return counts
 
@@ -173,7 +179,7 @@
         self._process.terminate()
 
     def restart(self) -> None:
-        """Kill the process and start it anew, with the same files and address."""
+        """Kill the process and start it again with the same files and address."""
         self.close()
         self._process = self._start()
 
--- a/aspensaddle/conformance/quic_client.py
+++ b/aspensaddle/conformance/quic_client.py
@@ -1,4 +1,4 @@
-"""A QUIC client, as the cases drive it."""
+"""The QUIC client of the cases. The protocol itself is the library's (aioquic)."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from aspensaddle.conformance.quic_versions import V1
 
 ALPN = ("lines",)
-DEFAULT_ID_LENGTH = 8  # octets
-IDLE_TIMEOUT = 60.0  # s
-KEPT_SENT, KEPT_RECEIVED = 8, 64  # datagrams
+DEFAULT_CID_BYTES = 8
+IDLE_TIMEOUT_SECONDS = 60.0
+MAX_KEPT_SENT = 8  # a client stores this many of the first datagrams that it sends
+MAX_KEPT_RECEIVED = 64  # a client stores this many of the first datagrams that it receives
 
 
 class ClientConnection(QuicConnection):
-    """A client's side of a connection, also without ids of its own, as browsers have none."""
+    """A client's side of a connection. With an empty connection ID, as browsers have it, it issues no others."""
 
     def _replenish_connection_ids(self) -> None:
         if self.host_cid:
@@ -32,137 +33,141 @@
 class ClientOptions:
     """How a client connects."""
 
-    name: str | None = "x.example"  # server name of its ClientHello
+    server_name: str | None = "x.example"  # SNI of its ClientHello
     alpn: tuple[str, ...] = ALPN
     versions: tuple[int, ...] = (V1,)
-    original: int = 0  # version of its first Initial, if not the first of `versions`
-    id_length: int = DEFAULT_ID_LENGTH
-    token: bytes = b""  # of an earlier connection
-    large: bool = False  # a ClientHello of several datagrams
+    original_version: int = 0  # version of the first Initial; 0: the first of `versions`
+    cid_length: int = DEFAULT_CID_BYTES
+    token: bytes = b""  # a token from an earlier connection
+    large: bool = False  # the ClientHello needs several datagrams
     ticket: SessionTicket | None = None
-    early: bytes = b""  # said before the handshake is complete
-    hold: bool = False  # datagrams go to `QuicClient.held`, for the case to send
+    early_data: bytes = b""  # sent before the handshake is complete
+    hold_datagrams: bool = False  # store datagrams in `QuicClient.held_datagrams` instead of sending them
     link_in: Link | None = None
     link_out: Link | None = None
 
     def configuration(self) -> QuicConfiguration:
-        """Return the library's configuration."""
+        """Return the library's configuration for these options."""
         return QuicConfiguration(
             is_client=True,
             alpn_protocols=list(self.alpn),
             verify_mode=0,
-            idle_timeout=IDLE_TIMEOUT,
-            server_name=self.name,
-            connection_id_length=DEFAULT_ID_LENGTH,
+            idle_timeout=IDLE_TIMEOUT_SECONDS,
+            server_name=self.server_name,
+            connection_id_length=DEFAULT_CID_BYTES,
             supported_versions=list(self.versions),
             token=self.token,
-            original_version=self.original or self.versions[0],
+            original_version=self.original_version or self.versions[0],
             quantum_readiness_test=self.large,
             session_ticket=self.ticket,
         )
 
 
 class QuicClient:
-    """A client. It can change its port, its ids and its balancer, and recognizes a stateless reset."""
+    """A client that can change its port, its connection ID and its balancer, and detects a stateless reset.
+
+    `terminations` has the end of the connection once it has ended; `responses` are the servers' stream data.
+    """
 
     def __init__(self, net: Net, frontend_address: Address, options: ClientOptions) -> None:
-        """Take an address in `net` and send the first Initial."""
+        """Bind to an address in `net` and send the first Initial."""
         self.net, self.frontend_address = net, frontend_address
         self.link_in, self.link_out = options.link_in or Link(), options.link_out or Link()
         self.address: Address = ("", 0)
-        self.answers: list[bytes] = []
-        self.ended: list[events.ConnectionTerminated] = []
-        self.ready = self.reset = False
-        self.in_octets = self.out_octets = self.datagrams_in = 0
-        self.got: list[bytes] = []  # the first datagrams that came
-        self.sent: list[bytes] = []  # the first that went
-        self.hold, self.held = options.hold, list[bytes]()
+        self.responses: list[bytes] = []
+        self.terminations: list[events.ConnectionTerminated] = []
+        self.handshake_complete = self.was_reset = False
+        self.received_bytes = self.sent_bytes = self.datagrams_in = 0
+        self.received_datagrams: list[bytes] = []  # the first ones
+        self.sent_datagrams: list[bytes] = []  # the first ones
+        self.hold_datagrams, self.held_datagrams = options.hold_datagrams, list[bytes]()
         self.tickets: list[SessionTicket] = []
-        self.tokens: set[bytes] = set()  # stateless reset tokens
+        self.reset_tokens: set[bytes] = set()  # stateless reset tokens of the server's connection IDs
         net.bind(self)
         self.connection = ClientConnection(
             configuration=options.configuration(), session_ticket_handler=self.tickets.append
         )
-        if options.id_length != DEFAULT_ID_LENGTH:
-            self._choose_id(options.id_length)
-        if options.early:
+        if options.cid_length != DEFAULT_CID_BYTES:
+            self._set_cid_length(options.cid_length)
+        if options.early_data:
             stream = self.connection.get_next_available_stream_id()
-            self.connection.send_stream_data(stream, options.early, True)
+            self.connection.send_stream_data(stream, options.early_data, True)
         self.connection.connect(frontend_address, now=net.now())
         self.flush()
 
-    def _choose_id(self, length: int) -> None:
+    def _set_cid_length(self, length: int) -> None:
         cid = os.urandom(length)
         self.connection._host_cids[0].cid = self.connection.host_cid = cid
         self.connection._local_initial_source_connection_id = cid
         self.connection._configuration.connection_id_length = length
 
     @property
-    def chosen(self) -> bytes:
-        """The id that it chose for the server."""
+    def original_dcid(self) -> bytes:
+        """The connection ID that the client chose for its first Initial."""
         return self.connection.original_destination_connection_id
 
     def flush(self) -> None:
-        """Handle the library's events and send what it has to send."""
-        if self.reset:
+        """Process the library's events and send its datagrams."""
+        if self.was_reset:
             return
         while (event := self.connection.next_event()) is not None:
             if isinstance(event, events.HandshakeCompleted):
-                self.ready = True
+                self.handshake_complete = True
             elif isinstance(event, events.StreamDataReceived):
-                self.answers.append(event.data)
+                self.responses.append(event.data)
             elif isinstance(event, events.ConnectionTerminated):
-                self.ended.append(event)
+                self.terminations.append(event)
         for data, _ in self.connection.datagrams_to_send(self.net.now()):
-            if self.hold:
-                self.held.append(data)
+            if self.hold_datagrams:
+                self.held_datagrams.append(data)
             else:
                 self.send(data)
 
     def send(self, data: bytes) -> None:
         """Send a datagram to the front end."""
-        if len(self.sent) < KEPT_SENT:
-            self.sent.append(data)
-        self.out_octets += len(data)
+        if len(self.sent_datagrams) < MAX_KEPT_SENT:
+            self.sent_datagrams.append(data)
+        self.sent_bytes += len(data)
         self.net.send(self, data, self.frontend_address)
 
-    def received(self, data: bytes, source: Address) -> None:
-        """Handle a datagram."""
+    def handle_datagram(self, data: bytes, source: Address) -> None:
+        """Detect a stateless reset, or else pass a datagram on to the library."""
         self.datagrams_in += 1
-        self.in_octets += len(data)
-        if len(self.got) < KEPT_RECEIVED:
-            self.got.append(data)
-        known = [self.connection._peer_cid, *self.connection._peer_cid_available]
-        self.tokens |= {c.stateless_reset_token for c in known if c.stateless_reset_token}
-        if data[-16:] in self.tokens:
-            self.reset = True
+        self.received_bytes += len(data)
+        if len(self.received_datagrams) < MAX_KEPT_RECEIVED:
+            self.received_datagrams.append(data)
+        peer_cids = [self.connection._peer_cid, *self.connection._peer_cid_available]
+        self.reset_tokens |= {cid.stateless_reset_token for cid in peer_cids if cid.stateless_reset_token}
+        if data[-16:] in self.reset_tokens:
+            self.was_reset = True
         elif data:
-            # Balancers share an address: an answer counts as that of the one it sent to.
+            # Deployed balancers share one address, so a datagram from any of them counts as one from the address that
+            # the client connected to.
             self.connection.receive_datagram(data, self.connection._network_paths[0].addr, self.net.now())
             self.flush()
 
-    def timer(self) -> float | None:
-        """Return the time of the next timer, None if there is none."""
-        return None if self.reset else self.connection.get_timer()
+    def next_timer(self) -> float | None:
+        """Return the time of the next timer, or None if there is none."""
+        return None if self.was_reset else self.connection.get_timer()
 
-    def expired(self) -> None:
+    def run_timers(self) -> None:
         """Run the timer that is due."""
         self.connection.handle_timer(self.net.now())
         self.flush()
 
-    def say(self, text: bytes) -> None:
-        """Send text on a stream of its own."""
+    def send_request(self, text: bytes) -> None:
+        """Send a request on a new stream."""
         self.connection.send_stream_data(self.connection.get_next_available_stream_id(), text, end_stream=True)
         self.flush()
 
     def rebind(self) -> None:
-        """Take another source port, as after a change of network."""
+        """Bind to another source port, as after a change of network."""
         self.net.bind(self)
 
-    def change_id(self) -> None:
-        """Use another of the server's ids from now on."""
+    def change_cid(self) -> None:
+        """Use another of the server's connection IDs from now on."""
         self.connection.change_connection_id()
 
     def close(self) -> None:
-        """Take the client off the network."""
-        self.net.drop(self)
+        """Remove the client from the network."""
+        self.net.remove(self)
--- a/aspensaddle/conformance/quic_server.py
+++ b/aspensaddle/conformance/quic_server.py
@@ -1,7 +1,7 @@
-"""A QUIC server behind the balancer.
+"""The QUIC server behind the balancer in the cases.
 
-The protocol is the library's. What such a server does of its own is here: it issues routable ids and the stateless
-reset tokens that the operator's key gives.
+The protocol itself is the library's (aioquic). This module adds what a server behind the balancer does besides: it
+issues routable connection IDs, and stateless reset tokens derived from the operator's key.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
 from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenVerdict
 
 RESET_KEY = bytes(range(32))
-MAX_ISSUED_IDS = 8  # per connection, if the client accepts as many
-MIN_INITIAL_SIZE = 1200  # octets of a datagram
-GENEROUS_COPIES = 5  # of each full datagram
-RECENT_DATAGRAMS = 1000
+MAX_ISSUED_CIDS = 8  # per connection, if the client accepts as many
+MIN_INITIAL_DATAGRAM_BYTES = 1200
+AMPLIFIED_COPIES = 5  # how often an amplifying server sends each full datagram
+MAX_RECENT_DATAGRAMS = 1000
 
 
 class ServerConnection(QuicConnection):
-    """A server's side of a connection, whose ids are made by `issue`."""
+    """A server's side of a connection. `issue` creates its connection IDs."""
 
-    def __init__(self, issue: Callable[[], bytes], **more: Any) -> None:
-        """Create the side with an id of its own; `more` is for the library."""
-        super().__init__(**more)
+    def __init__(self, issue: Callable[[], bytes], **library_arguments: Any) -> None:
+        """Issue the first connection ID; `library_arguments` are those of `QuicConnection`."""
+        super().__init__(**library_arguments)
         self.issue = issue
-        self._host_cids = [self._new_id(0)]
+        self._host_cids = [self._create_cid(0)]
         self.host_cid = self._local_initial_source_connection_id = self._host_cids[0].cid
 
-    def _new_id(self, number: int) -> QuicConnectionId:
+    def _create_cid(self, number: int) -> QuicConnectionId:
         cid = self.issue()
         return QuicConnectionId(
             cid=cid,
@@ -55,85 +55,85 @@
         )
 
     def _replenish_connection_ids(self) -> None:
-        while self.host_cid and len(self._host_cids) < min(MAX_ISSUED_IDS, self._remote_active_connection_id_limit):
-            self._host_cids.append(self._new_id(self._host_cid_seq))
+        while self.host_cid and len(self._host_cids) < min(MAX_ISSUED_CIDS, self._remote_active_connection_id_limit):
+            self._host_cids.append(self._create_cid(self._host_cid_seq))
             self._host_cid_seq += 1
 
-    def ids(self) -> list[bytes]:
-        """Return the ids that lead to this connection."""
-        return [known.cid for known in self._host_cids]
+    def cids(self) -> list[bytes]:
+        """Return the connection IDs that route to this connection."""
+        return [issued.cid for issued in self._host_cids]
 
 
 class ServerMode(StrEnum):
-    """How a server answers a client's first Initial, or what it does besides."""
+    """How a server responds to a client's first Initial."""
 
     OK = "ok"
-    RETRY = "retry"  # sends a Retry of its own first
-    REFUSE = "refuse"
-    FAIL = "fail"
+    RETRY = "retry"  # sends a Retry first
+    REFUSE = "refuse"  # closes with CONNECTION_REFUSED
+    FAIL = "fail"  # closes with INTERNAL_ERROR
     SILENT = "silent"
-    GENEROUS = "generous"  # answers with more than three times what came
+    AMPLIFYING = "generous"  # sends more than three times the bytes that it received
 
 
 @dataclass(slots=True)
 class ServerRecords:
-    """What a server has seen since it was created."""
+    """What a server has received since it was created."""
 
     datagrams: int = 0
-    initials: int = 0  # of connections that it did not know
+    initials: int = 0  # Initials of connections that the server did not know
     connections: int = 0
-    requests: list[bytes] = field(default_factory=list)  # what clients said on streams
-    early_requests: int = 0  # those that came in 0-RTT
+    requests: list[bytes] = field(default_factory=list)  # the data of clients' streams
+    early_requests: int = 0  # how many of the requests came in 0-RTT
     source_addresses: set[Address] = field(default_factory=set)
-    first_seen_at: dict[bytes, float] = field(default_factory=dict)  # by the id that the client chose
-    recent_datagrams: deque[bytes] = field(default_factory=lambda: deque(maxlen=RECENT_DATAGRAMS))
+    first_seen_at: dict[bytes, float] = field(default_factory=dict)  # by the connection ID that the client chose
+    recent_datagrams: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_DATAGRAMS))
     token_verdicts: list[TokenVerdict] = field(default_factory=list)
 
 
 class QuicServer:
-    """A server behind the balancer. It answers each stream with its uid and what was said."""
+    """A server behind the balancer. It responds on each stream with its uid and the data of the request."""
 
     def __init__(
         self,
         net: Net,
         uid: str,
-        form: IdFormat,
+        id_format: IdFormat,
         mode: ServerMode,
         tickets: dict[bytes, SessionTicket],
-        unix: Callable[[], float],
+        unix_time: Callable[[], float],
         tokens: RetryTokens | None,
     ) -> None:
-        """Take an address in `net`.
+        """Bind to an address in `net`.
 
         Args:
             net: the network.
-            uid: its name in the endpoint list.
-            form: the format of the ids that it issues; `server_id` has to be set before the first.
-            mode: how it answers.
+            uid: the server's uid in the endpoint list.
+            id_format: the format of the connection IDs that it issues; `server_id` has to be set before the first.
+            mode: how it responds to first Initials.
             tickets: session tickets by label, shared by servers that resume each other's sessions.
-            unix: returns the Unix time.
-            tokens: checks the front end's Retry tokens; None if there are none.
+            unix_time: returns the Unix time.
+            tokens: decrypts the front end's Retry tokens; None if the front end sends none.
         """
-        self.net, self.uid, self.form, self.mode = net, uid, form, mode
-        self.tickets, self.unix, self.tokens = tickets, unix, tokens
+        self.net, self.uid, self.id_format, self.mode = net, uid, id_format, mode
+        self.tickets, self.unix_time, self.tokens = tickets, unix_time, tokens
         self.server_id = b""
         self.versions: tuple[int, ...] = (V1, V2)
-        self.issue: Callable[[], bytes] = lambda: self.form.encode(self.server_id)
+        self.issue: Callable[[], bytes] = lambda: self.id_format.encode(self.server_id)
         self.link_in, self.link_out = Link(), Link()
         self.address: Address = ("", 0)
         self.records = ServerRecords()
         self._connections: list[ServerConnection] = []
-        self._by_id: dict[bytes, ServerConnection] = {}
-        self._id_lengths: set[int] = set()
-        self._by_peer: dict[Address, ServerConnection] = {}
+        self._by_cid: dict[bytes, ServerConnection] = {}
+        self._cid_lengths: set[int] = set()
+        self._by_address: dict[Address, ServerConnection] = {}
         net.bind(self)
 
     def close(self) -> None:
-        """Take the server off the network."""
-        self.net.drop(self)
+        """Remove the server from the network."""
+        self.net.remove(self)
 
-    def target(self, **more: Any) -> dict[str, Any]:
-        """Return its entry of the endpoint list, as discovery writes it; `more` replaces fields."""
+    def target(self, **overrides: Any) -> dict[str, Any]:
+        """Return the server's entry in an endpoint list of discovery; `overrides` replace fields."""
         return {
             "uid": self.uid,
             "endpoint": f"{self.address[0]}:{self.address[1]}",
@@ -143,11 +143,11 @@
             "state": "active",
             "capacity_hint": 1.0,
             "boot_ms": 0,
-            **more,
+            **overrides,
         }
 
-    def received(self, data: bytes, source: Address) -> None:
-        """Handle a datagram."""
+    def handle_datagram(self, data: bytes, source: Address) -> None:
+        """Record a datagram and pass it on to its connection, which may be a new one."""
         self.records.datagrams += 1
         self.records.source_addresses.add(source)
         self.records.recent_datagrams.append(data)
@@ -156,19 +156,19 @@
             connection = self._accept(data, source)
         if connection is not None:
             connection.receive_datagram(data, source, self.net.now())
-            self._carry_out(connection)
+            self._process_events(connection)
 
     def _find(self, data: bytes, source: Address) -> ServerConnection | None:
         if data[0] & 0x80:
             dcid = parse_invariants(data).dcid
-            return self._by_id.get(dcid) if dcid else self._by_peer.get(source)
-        for length in self._id_lengths:
-            if (found := self._by_id.get(data[1 : 1 + length])) is not None:
+            return self._by_cid.get(dcid) if dcid else self._by_address.get(source)
+        for length in self._cid_lengths:
+            if (found := self._by_cid.get(data[1 : 1 + length])) is not None:
                 return found
-        return self._by_peer.get(source)
+        return self._by_address.get(source)
 
     def _accept(self, data: bytes, source: Address) -> ServerConnection | None:
-        """Answer a client's first Initial; return the connection if it is accepted."""
+        """Respond to a client's first Initial; return the connection if it is accepted."""
         try:
             header = pull_quic_header(Buffer(data=data), host_cid_length=8)
         except ValueError:
@@ -191,20 +191,21 @@
             self._send(InitialKeys(packet.dcid).encode_close(packet.version, packet.scid, code, b""), source)
         elif self.mode == ServerMode.RETRY and not header.token:
             self._send(encode_quic_retry(header.version, self.issue(), header.source_cid, dcid, dcid), source)
-        elif self.mode in (ServerMode.OK, ServerMode.RETRY, ServerMode.GENEROUS):
+        elif self.mode in (ServerMode.OK, ServerMode.RETRY, ServerMode.AMPLIFYING):
             return self._create_connection(dcid, header.token, source)
         return None
 
     def _create_connection(self, dcid: bytes, token: bytes, source: Address) -> ServerConnection:
-        original, retried = dcid, None
+        original_dcid, retry_scid = dcid, None
         if self.mode == ServerMode.RETRY and token:
-            original, retried = token, dcid
+            original_dcid, retry_scid = token, dcid
         elif self.tokens is not None and token:
-            # The server sees the balancer's address, not the client's: it can check the ids and the time only.
-            proof = self.tokens.unseal(token, self.unix())
-            self.records.token_verdicts.append(TokenVerdict.ABSENT if proof is None else TokenVerdict.VALID)
-            if proof is not None:
-                original, retried = proof.original_dcid, dcid
+            # The server sees the balancer's address instead of the client's, so it can check only the connection IDs
+            # and the time.
+            contents = self.tokens.unseal(token, self.unix_time())
+            self.records.token_verdicts.append(TokenVerdict.ABSENT if contents is None else TokenVerdict.VALID)
+            if contents is not None:
+                original_dcid, retry_scid = contents.original_dcid, dcid
         self.records.connections += 1
         configuration = QuicConfiguration(
             is_client=False,
@@ -218,29 +219,30 @@
         connection = ServerConnection(
             self.issue,
             configuration=configuration,
-            original_destination_connection_id=original,
-            retry_source_connection_id=retried,
+            original_destination_connection_id=original_dcid,
+            retry_source_connection_id=retry_scid,
             session_ticket_fetcher=lambda label: self.tickets.pop(label, None),
             session_ticket_handler=lambda ticket: self.tickets.__setitem__(ticket.ticket, ticket),
         )
         self._connections.append(connection)
-        self._by_id[dcid] = connection
-        self._by_peer[source] = connection
+        self._by_cid[dcid] = connection
+        self._by_address[source] = connection
         return connection
 
-    def timer(self) -> float | None:
-        """Return the time of the next timer, None if there is none."""
+    def next_timer(self) -> float | None:
+        """Return the time of the next timer, or None if there is none."""
         return min((at for c in self._connections if (at := c.get_timer()) is not None), default=None)
 
-    def expired(self) -> None:
+    def run_timers(self) -> None:
         """Run the timers that are due."""
         for connection in list(self._connections):
             at = connection.get_timer()
             if at is not None and at <= self.net.now():
                 connection.handle_timer(self.net.now())
-                self._carry_out(connection)
+                self._process_events(connection)
 
-    def _carry_out(self, connection: ServerConnection) -> None:
+    def _process_events(self, connection: ServerConnection) -> None:
+        """Respond to requests, send the connection's datagrams and register its new connection IDs."""
         while (event := connection.next_event()) is not None:
             if isinstance(event, events.StreamDataReceived) and event.end_stream:
                 self.records.requests.append(event.data)
@@ -250,13 +252,15 @@
                 self._connections.remove(connection)
         for data, peer in connection.datagrams_to_send(self.net.now()):
             for _ in range(
-                GENEROUS_COPIES if self.mode == ServerMode.GENEROUS and len(data) >= MIN_INITIAL_SIZE else 1
+                AMPLIFIED_COPIES
+                if self.mode == ServerMode.AMPLIFYING and len(data) >= MIN_INITIAL_DATAGRAM_BYTES
+                else 1
             ):
                 self._send(data, peer)
-        for cid in connection.ids():
-            self._by_id[cid] = connection
-            self._id_lengths.add(len(cid))
+        for cid in connection.cids():
+            self._by_cid[cid] = connection
+            self._cid_lengths.add(len(cid))
 
-    def _send(self, data: bytes, to: Address) -> None:
+    def _send(self, data: bytes, destination: Address) -> None:
         if self.mode != ServerMode.SILENT:
-            self.net.send(self, data, to)
+            self.net.send(self, data, destination)
--- a/aspensaddle/conformance/raw_endpoint.py
+++ b/aspensaddle/conformance/raw_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that sends packets made by hand."""
+"""An endpoint for packets that a case builds itself."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 
 class RawEndpoint:
-    """An endpoint without a protocol: it sends whatever it is given and keeps what comes."""
+    """An endpoint without a protocol: it sends any bytes and stores the datagrams that it receives."""
 
     def __init__(self, net: Net) -> None:
-        """Take an address in `net`."""
+        """Bind to an address in `net`."""
         self.net, self.address = net, ("", 0)
         self.link_in, self.link_out = Link(), Link()
-        self.got: list[bytes] = []
-        self.sent: list[bytes] = []
+        self.received_datagrams: list[bytes] = []
+        self.sent_datagrams: list[bytes] = []
         net.bind(self)
 
-    def send(self, data: bytes, to: Address) -> None:
+    def send(self, data: bytes, destination: Address) -> None:
         """Send a datagram."""
-        self.sent.append(data)
-        self.net.send(self, data, to)
+        self.sent_datagrams.append(data)
+        self.net.send(self, data, destination)
 
-    def received(self, data: bytes, source: Address) -> None:
-        """Keep a datagram."""
-        self.got.append(data)
+    def handle_datagram(self, data: bytes, source: Address) -> None:
+        """Store a datagram."""
+        self.received_datagrams.append(data)
 
-    def timer(self) -> float | None:
+    def next_timer(self) -> float | None:
         """Return None: it has no timers."""
         return None
 
-    def expired(self) -> None:
+    def run_timers(self) -> None:
         """Do nothing: it has no timers."""
 
     def close(self) -> None:
-        """Take it off the network."""
-        self.net.drop(self)
+        """Remove the endpoint from the network."""
+        self.net.remove(self)
--- a/aspensaddle/conformance/server_certificate.py
+++ b/aspensaddle/conformance/server_certificate.py
@@ -1,4 +1,4 @@
-"""The TLS certificate of the test servers."""
+"""The TLS certificate of the stand-in servers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-VALIDITY = datetime.timedelta(days=1)  # before and after now
+VALIDITY = datetime.timedelta(days=1)  # both before and after the current time
 
 
 @cache
 def server_configuration() -> QuicConfiguration:
-    """Return a configuration with a self-signed certificate, which is made once per process."""
+    """Return a configuration with a self-signed certificate, which is created once per process."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "runner")])
     now = datetime.datetime.now(datetime.UTC)
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -1,4 +1,4 @@
-"""Runs cases and reports their results."""
+"""Registers and runs the cases, and formats their results."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from aspensaddle.conformance.testbed import NotApplicableError, RequirementNotMetError, Testbed, TestbedSetup
 
-# Cases are numbered in this order, and in that of each file.
-FILES = (
+# The cases are numbered in the order of this list, and in their order within each module.
+CASE_MODULES = (
     "invariants",
     "handshakes",
     "client_hellos",
@@ -27,7 +27,9 @@
     "routable",
     "faults",
 )
-PASSED, FAILED, NOT_APPLICABLE = "passed", "failed", "not applicable"
+PASSED = "passed"
+FAILED = "failed"
+NOT_APPLICABLE = "not applicable"
 
 
 @dataclass(frozen=True)
@@ -36,20 +38,23 @@
 
     number: int
     section: str
-    says: str
+    requirement: str
     setup: TestbedSetup
     run: Callable[[Testbed], None]
-    slow: bool  # left out of the quick part
+    slow: bool  # skipped by --quick
 
     @property
     def name(self) -> str:
-        """The name of its function."""
+        """The name of the function."""
         return self.run.__name__
 
 
 @dataclass(frozen=True)
 class Result:
-    """The result of a case. `why` explains a verdict other than passed; `seconds` is how long it took."""
+    """The result of a case.
+
+    `says` is its requirement, `why` explains a verdict other than passed, `seconds` is how long it took.
+    """
 
     number: int
     section: str
@@ -64,68 +69,74 @@
 
 
 def case(
-    section: str, says: str, setup: TestbedSetup | None = None, slow: bool = False
+    section: str, requirement: str, setup: TestbedSetup | None = None, slow: bool = False
 ) -> Callable[[Callable[[Testbed], None]], Callable[[Testbed], None]]:
-    """Register a case. Numbers follow the order of the files and of the cases in them."""
+    """Return a decorator that registers a function as the next case."""
 
     def register(run: Callable[[Testbed], None]) -> Callable[[Testbed], None]:
-        CASES.append(Case(len(CASES) + 1, section, says, setup or TestbedSetup(), run, slow))
+        CASES.append(Case(len(CASES) + 1, section, requirement, setup or TestbedSetup(), run, slow))
         return run
 
     return register
 
 
-def load() -> list[Case]:
-    """Return all cases."""
+def load_cases() -> list[Case]:
+    """Return all cases; import their modules at the first call."""
     if not CASES:
-        for name in FILES:
+        for name in CASE_MODULES:
             import_module(f"aspensaddle.conformance.cases.{name}")
     return CASES
 
 
 def run(
-    chosen: Iterable[Case],
+    cases: Iterable[Case],
     memory: bool = False,
     seed: int = 0,
     jobs: int = 1,
-    told: Callable[[Result], None] = lambda result: None,
+    on_result: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
     """Run cases and return the results by number.
 
-    Cases with the same setup run one after the other on one testbed; `jobs` testbeds run at a time, in processes.
-    `told` gets each result as it comes.
+    Cases with the same setup run one after the other on one testbed.
+
+    Args:
+        cases: the cases.
+        memory: run the engine without sockets, in simulated time.
+        seed: the seed of links and balancers.
+        jobs: how many testbeds run at a time, each in a process.
+        on_result: receives each result as soon as it is known.
     """
     groups: dict[object, list[int]] = {}
-    for c in chosen:
-        groups.setdefault(c.number if c.setup.alone else c.setup, []).append(c.number)
+    for c in cases:
+        groups.setdefault(c.number if c.setup.exclusive else c.setup, []).append(c.number)
     results = []
     with ProcessPoolExecutor(jobs) as pool:
-        for future in as_completed([pool.submit(_group, numbers, memory, seed) for numbers in groups.values()]):
+        for future in as_completed([pool.submit(_run_group, numbers, memory, seed) for numbers in groups.values()]):
             for result in future.result():
-                told(result)
+                on_result(result)
                 results.append(result)
     return sorted(results, key=lambda r: r.number)
 
 
-def _group(numbers: list[int], memory: bool, seed: int) -> list[Result]:
-    """Run the cases of these numbers, which share a setup. Cases themselves cannot pass between processes."""
-    cases = [c for c in load() if c.number in numbers]
-    return list(_on_one_testbed(cases[0].setup, cases, memory, seed))
+def _run_group(numbers: list[int], memory: bool, seed: int) -> list[Result]:
+    """Run the cases with these numbers, which share a setup. Cases themselves cannot be passed between processes."""
+    cases = [c for c in load_cases() if c.number in numbers]
+    return list(_run_on_testbed(cases[0].setup, cases, memory, seed))
 
 
-def _on_one_testbed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
+def _run_on_testbed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
     with TemporaryDirectory() as folder:
         testbed: Testbed | None = None
-        for n, c in enumerate(cases):
+        for index, c in enumerate(cases):
             start = time.monotonic()
             verdict, why = PASSED, ""
             try:
                 if testbed is None:
-                    testbed = Testbed(setup, Path(folder) / str(n), memory, seed)
+                    testbed = Testbed(setup, Path(folder) / str(index), memory, seed)
                 testbed.begin_case()
                 c.run(testbed)
-                if faults := testbed.counted("internal_errors"):
-                    raise RequirementNotMetError(f"{faults} faults in the front")
+                if internal_errors := testbed.counter_increase("internal_errors"):
+                    raise RequirementNotMetError(f"{internal_errors} internal errors in the front end")
             except NotApplicableError as e:
                 verdict, why = NOT_APPLICABLE, str(e)
             except RequirementNotMetError as e:
@@ -136,18 +147,18 @@
                 if testbed is not None:
                     testbed.finish_case()
             if verdict is FAILED and testbed is not None:
-                testbed.close()  # what it left must not fail the next
+                testbed.close()  # a new testbed, so that the next cases do not fail because of this one
                 testbed = None
-            yield Result(c.number, c.section, c.says, c.name, verdict, why, round(time.monotonic() - start, 2))
+            yield Result(c.number, c.section, c.requirement, c.name, verdict, why, round(time.monotonic() - start, 2))
         if testbed is not None:
             testbed.close()
 
 
-def table(results: list[Result]) -> str:
-    """Return the results as text: a line each, then the counts."""
+def format_table(results: list[Result]) -> str:
+    """Return the results as text: one line per case, then the number of cases by verdict."""
     lines = [f"{r.number:4}  {r.section:18} {r.verdict:15} {r.says}{f' ({r.why})' if r.why else ''}" for r in results]
     counts = {v: sum(r.verdict == v for r in results) for v in (PASSED, FAILED, NOT_APPLICABLE)}
-    lines.append(", ".join(f"{n} {v}" for v, n in counts.items()))
+    lines.append(", ".join(f"{count} {verdict}" for verdict, count in counts.items()))
     return "\n".join(lines)
 
 
