--- a/aspensaddle/conformance/__main__.py
+++ b/aspensaddle/conformance/__main__.py
@@ -42,7 +42,7 @@
     parser.add_argument("--memory", action="store_true", help="run the engine without sockets, in simulated time")
     parser.add_argument("--only", metavar="WORD", help="run cases with WORD in number, section, name or requirement")
     parser.add_argument("--json", metavar="FILE", help="write the results to FILE")
-    parser.add_argument("--seed", type=int, default=0, help="seed of the random links")
+    parser.add_argument("--seed", type=int, default=0, help="seed of random links and, with --memory, of balancers")
     parser.add_argument(
         "--jobs", type=int, default=min(4, os.cpu_count() or 1), help="how many testbeds run at a time"
     )
--- a/aspensaddle/conformance/cases/addresses.py
+++ b/aspensaddle/conformance/cases/addresses.py
@@ -99,9 +99,9 @@
     client.rebind()
     testbed.request(client, b"moved")
     testbed.check(client.address != old_address, "another port")
-    datagrams_before = client.datagrams_in
+    datagrams_before = client.received_count
     testbed.request(client, b"once more")
-    testbed.check(client.datagrams_in > datagrams_before, "datagrams at the new address")
+    testbed.check(client.received_count > datagrams_before, "datagrams at the new address")
 
 
 @case("9000-9.3.1", "Datagrams copied from another address get at most three times their bytes there")
--- a/aspensaddle/conformance/cases/routable.py
+++ b/aspensaddle/conformance/cases/routable.py
@@ -260,7 +260,7 @@
     connections_before = testbed.connections_started()
     for _ in range(3):
         client = testbed.client()
-        testbed.wait(lambda c=client: c.datagrams_in, "the server's first reply")  # type: ignore[misc]
+        testbed.wait(lambda c=client: c.received_count, "the server's first reply")  # type: ignore[misc]
         client.frontend_address = testbed.frontends[1].address
         testbed.wait(lambda c=client: c.handshake_complete, "a complete handshake")  # type: ignore[misc]
         testbed.request(client)
--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -88,7 +88,7 @@
         for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
             self.address = ("127.0.0.1", free_port(socket.SOCK_DGRAM))
             self._config["listen"] = f"127.0.0.1:{free_port(socket.SOCK_STREAM)}"
-            self._write(toml)
+            self._write_files(toml)
             try:
                 return self._start()
             except PortInUseError:
@@ -96,7 +96,8 @@
                     raise
         raise ValueError(f"MAX_START_ATTEMPTS must be positive, not {MAX_START_ATTEMPTS}")
 
-    def _write(self, toml: str | None = None) -> None:
+    def _write_files(self, toml: str | None = None) -> None:
+        """Write the configuration and, if it is given, quic.toml."""
         if toml is not None:
             (self.folder / "quic.toml").write_text(toml.replace("LISTEN", f"{self.address[0]}:{self.address[1]}"))
         (self.folder / "new.json").write_bytes(orjson.dumps(self._config))
@@ -159,12 +160,12 @@
     def replace_endpoints(self, targets: list[dict[str, Any]]) -> None:
         """Replace the whole endpoint list."""
         self._config["known"] = {"rev": 1, "all": True, "targets": targets}
-        self._write()
+        self._write_files()
         self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")
 
     def configure(self, toml: str) -> bool:
         """Load other QUIC settings, the text of a quic.toml; return whether they were accepted."""
-        self._write(toml)
+        self._write_files(toml)
         return bool(
             self._signal_and_wait(signal.SIGHUP, "config_reloaded", "reload_rejected")["event"] == "config_reloaded"
         )
--- a/aspensaddle/conformance/quic_client.py
+++ b/aspensaddle/conformance/quic_client.py
@@ -77,7 +77,7 @@
         self.responses: list[bytes] = []
         self.terminations: list[events.ConnectionTerminated] = []
         self.handshake_complete = self.was_reset = False
-        self.received_bytes = self.sent_bytes = self.datagrams_in = 0
+        self.received_bytes = self.sent_bytes = self.received_count = 0
         self.received_datagrams: list[bytes] = []  # the first ones
         self.sent_datagrams: list[bytes] = []  # the first ones
         self.hold_datagrams, self.held_datagrams = options.hold_datagrams, list[bytes]()
@@ -132,7 +132,7 @@
 
     def handle_datagram(self, data: bytes, source: Address) -> None:
         """Detect a stateless reset, or else pass a datagram on to the library."""
-        self.datagrams_in += 1
+        self.received_count += 1
         self.received_bytes += len(data)
         if len(self.received_datagrams) < MAX_KEPT_RECEIVED:
             self.received_datagrams.append(data)
--- a/aspensaddle/conformance/testbed.py
+++ b/aspensaddle/conformance/testbed.py
@@ -244,7 +244,7 @@
         return sum(server.records.connections for server in self.servers)
 
     def early_requests(self) -> int:
-        """Return how many requests came to the servers in 0-RTT."""
+        """Return how many requests the servers received in 0-RTT."""
         return sum(server.records.early_requests for server in self.servers)
 
     def update_endpoints(self, *targets: dict[str, Any]) -> None:
