--- a/aspensaddle/frontends/quic/client_hello.py
+++ b/aspensaddle/frontends/quic/client_hello.py
@@ -13,7 +13,7 @@
 from aioquic.tls import Alert, pull_client_hello
 
 MAX_CLIENT_HELLO_BYTES = 16384  # with post-quantum key shares a ClientHello has 1.5 to 4 KB
-MAX_PIECES = 64  # pieces with gaps between them that are held at a time
+MAX_PIECES = 64  # limit of the stored pieces that have gaps between them
 HANDSHAKE_HEADER_BYTES = 4  # type and length of a handshake message
 CLIENT_HELLO_TYPE = 1
 ENCRYPTED_CLIENT_HELLO = 0xFE0D  # extension type of ECH (RFC 9849)
@@ -33,7 +33,7 @@
 
     server_name: str = ""  # SNI in lower case; empty if it is missing or not a host name
     alpn: tuple[str, ...] = ()  # offered protocols in the client's order
-    encrypted: bool = False  # ECH hides the real server name; the outer one says nothing about the client
+    encrypted: bool = False  # ECH hides the real server name; the outer name says nothing about the client
 
 
 class CryptoStreamReassembler:
@@ -60,21 +60,28 @@
         end = offset + len(data)
         if end > MAX_CLIENT_HELLO_BYTES:
             raise ClientHelloError(f"the ClientHello is larger than {MAX_CLIENT_HELLO_BYTES} bytes")
-        if end <= len(self._contiguous) or any(o <= offset and end <= o + len(d) for o, d in self._pieces.items()):
+        if end <= len(self._contiguous) or any(
+            start <= offset and end <= start + len(piece) for start, piece in self._pieces.items()
+        ):
             return False
         if offset > len(self._contiguous):
             # Pieces inside the new one are dropped, so that overlapping pieces cannot accumulate without limit.
-            for o in [o for o, d in self._pieces.items() if offset <= o and o + len(d) <= end]:
-                del self._pieces[o]
+            for start in [
+                start for start, piece in self._pieces.items() if offset <= start and start + len(piece) <= end
+            ]:
+                del self._pieces[start]
             if len(self._pieces) >= MAX_PIECES or self.stored_bytes + len(data) > MAX_CLIENT_HELLO_BYTES:
-                raise ClientHelloError("the ClientHello has too many separate pieces")
+                raise ClientHelloError(
+                    f"the ClientHello has more than {MAX_PIECES} separate pieces, "
+                    f"or they exceed {MAX_CLIENT_HELLO_BYTES} bytes"
+                )
             self._pieces[offset] = data
             return True
         self._contiguous += data[len(self._contiguous) - offset :]
-        for o in sorted(self._pieces):
-            if o <= len(self._contiguous):
-                piece = self._pieces.pop(o)
-                self._contiguous += piece[len(self._contiguous) - o :]
+        for start in sorted(self._pieces):
+            if start <= len(self._contiguous):
+                piece = self._pieces.pop(start)
+                self._contiguous += piece[len(self._contiguous) - start :]
         return True
 
     def first_message(self) -> bytes | None:
@@ -104,8 +111,8 @@
         raise ClientHelloError("the message is not a ClientHello")
     try:
         client_hello = pull_client_hello(Buffer(data=message))
-    except (Alert, BufferReadError, ValueError, UnicodeDecodeError) as e:
-        raise ClientHelloError(f"the ClientHello cannot be parsed: {e}") from None
+    except (Alert, BufferReadError, ValueError, UnicodeDecodeError) as error:
+        raise ClientHelloError(f"the ClientHello cannot be parsed: {error}") from None
     name = (client_hello.server_name or "").rstrip(".").lower()
     encrypted = any(kind == ENCRYPTED_CLIENT_HELLO for kind, _ in client_hello.other_extensions or [])
     return ClientHello(
--- a/aspensaddle/frontends/quic/connection_id_directory.py
+++ b/aspensaddle/frontends/quic/connection_id_directory.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IdConfig:
-    """One QUIC-LB configuration: the format of its connection IDs and the server UID of each server ID."""
+    """One QUIC-LB configuration: the format of its connection IDs, and the server's uid for each server ID."""
 
     format: IdFormat
     uids: Mapping[bytes, str]
@@ -36,9 +36,9 @@
     SERVER = "runner"  # a server that the settings name
     REMOVED_SERVER = "departed"  # a server that the settings named before a reload
     UNKNOWN_SERVER = "stranger"  # a well-formed ID without a server: made up, or encrypted with another key
-    RETIRED_CONFIG = "retired"  # a retired configuration: not routed, but answered with a stateless reset
-    UNROUTABLE = "unroutable"  # the codepoint 0b111: routed by the client's address only
-    UNKNOWN_CONFIG = "foreign"  # no configuration in use, or not the length that it asks for
+    RETIRED_CONFIG = "retired"  # an ID of a retired configuration: not routed, but answered with a stateless reset
+    UNROUTABLE = "unroutable"  # an ID with the codepoint 0b111: routed by the client's address only
+    UNKNOWN_CONFIG = "foreign"  # an ID of no configuration in use, or of another length than its configuration's
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 UNKNOWN_CONFIG = ConnectionIdInfo(ConnectionIdKind.UNKNOWN_CONFIG)
 UNKNOWN_SERVER = ConnectionIdInfo(ConnectionIdKind.UNKNOWN_SERVER)
 RETIRED_CONFIG = ConnectionIdInfo(ConnectionIdKind.RETIRED_CONFIG)
-NO_SERVER = ConnectionIdInfo(ConnectionIdKind.UNROUTABLE)
+UNROUTABLE = ConnectionIdInfo(ConnectionIdKind.UNROUTABLE)
 
 
 class ConnectionIdDirectory:
@@ -73,12 +73,13 @@
             previous: the directory that this one replaces. Its servers that are not configured any more are
                 remembered as removed.
         """
-        self.configs = {c.format.rotation: c for c in configs}
+        self.configs = {config.format.rotation: config for config in configs}
         # The length of a connection ID in bytes by the first three bits of its first byte; 0 if it is unknown.
         self.lengths_by_codepoint = [
-            self.configs[r].format.length if r in self.configs else 0 for r in range(CODEPOINT_COUNT - 1)
+            self.configs[rotation].format.length if rotation in self.configs else 0
+            for rotation in range(CODEPOINT_COUNT - 1)
         ] + [unroutable_length]
-        named = {uid for c in self.configs.values() for uid in c.uids.values()}
+        named = {uid for config in self.configs.values() for uid in config.uids.values()}
         self._removed_uids: set[str] = set() if previous is None else (previous._removed_uids | previous.uids) - named
         self.uids: frozenset[str] = frozenset(named)
         self._retired: set[int] = set()
@@ -87,7 +88,9 @@
         if previous is not None:
             for rotation, config in previous.configs.items():
                 known = {**previous._removed_server_ids.get(rotation, {}), **config.uids}
-                self._removed_server_ids[rotation] = {s: uid for s, uid in known.items() if uid in self._removed_uids}
+                self._removed_server_ids[rotation] = {
+                    server_id: uid for server_id, uid in known.items() if uid in self._removed_uids
+                }
 
     def extract(self, after_first_byte: bytes) -> bytes | None:
         """Return the connection ID at the start of what follows the first byte of a short-header packet.
@@ -105,7 +108,7 @@
             return UNKNOWN_CONFIG
         rotation = cid[0] >> 5
         if rotation == UNROUTABLE_CODEPOINT:
-            return NO_SERVER
+            return UNROUTABLE
         config = self.configs.get(rotation)
         if config is None or not config.format.matches(cid):
             return UNKNOWN_CONFIG
@@ -130,6 +133,6 @@
 
     def has_newly_retired(self, unix_time: float) -> bool:
         """Return whether a configuration has retired since the previous call."""
-        retired = {r for r, c in self.configs.items() if c.is_retired(unix_time)}
+        retired = {rotation for rotation, config in self.configs.items() if config.is_retired(unix_time)}
         changed, self._retired = retired != self._retired, retired
         return changed
--- a/aspensaddle/frontends/quic/connection_ids.py
+++ b/aspensaddle/frontends/quic/connection_ids.py
@@ -16,7 +16,7 @@
 from cryptography.hazmat.primitives.ciphers.algorithms import AES
 from cryptography.hazmat.primitives.ciphers.modes import ECB
 
-UNROUTABLE_CODEPOINT = 7  # reserved by the draft for IDs without a server ID (section 3.2)
+UNROUTABLE_CODEPOINT = 7  # codepoint that the draft reserves for IDs without a server ID (section 3.2)
 MAX_CID_BYTES = 20  # longest ID in QUIC versions 1 and 2 (RFC 9000, 17.2)
 MAX_SERVER_ID_BYTES = 15
 MIN_NONCE_BYTES = 4
@@ -29,8 +29,8 @@
 class IdFormat:
     """The format of the connection IDs of one configuration.
 
-    `key` has 16 bytes, or is None for plaintext IDs. `self_length` writes the length into the first byte and checks
-    it there. Lengths are in bytes. A value out of range raises a `ValueError` that names the field.
+    `key` has 16 bytes, or is None for plaintext IDs. With `self_length`, the first byte holds the length, which is
+    checked. Lengths are in bytes. A value out of range raises a `ValueError` that names the field.
     """
 
     rotation: int
@@ -54,7 +54,7 @@
             )
         if self.key is not None:
             if len(self.key) != AES_BLOCK_BYTES:
-                raise ValueError(f"key must be {AES_BLOCK_BYTES} bytes")
+                raise ValueError(f"key must be {AES_BLOCK_BYTES} bytes, not {len(self.key)}")
             cipher = Cipher(AES(self.key), ECB())
             object.__setattr__(self, "_encryptor", cipher.encryptor())
             object.__setattr__(self, "_decryptor", cipher.decryptor())
@@ -82,10 +82,10 @@
             ValueError: an argument does not have the length that the format asks for.
         """
         if len(server_id) != self.server_id_length:
-            raise ValueError(f"the server ID must be {self.server_id_length} bytes")
+            raise ValueError(f"the server ID must be {self.server_id_length} bytes, not {len(server_id)}")
         nonce = os.urandom(self.nonce_length) if nonce is None else nonce
         if len(nonce) != self.nonce_length:
-            raise ValueError(f"the nonce must be {self.nonce_length} bytes")
+            raise ValueError(f"the nonce must be {self.nonce_length} bytes, not {len(nonce)}")
         low_bits = self.length - 1 if self.self_length else os.urandom(1)[0] & LENGTH_MASK
         body = server_id + nonce
         if self._encryptor is not None:
@@ -126,11 +126,11 @@
         if odd:
             left &= ~0x0F  # the upper four bits of the middle byte belong to the left half
             right &= (1 << 8 * half - 4) - 1  # and the lower four to the right half
-        for n in order:
-            source = left if n % 2 else right
-            block = source.to_bytes(half, "big").ljust(AES_BLOCK_BYTES - 2, b"\0") + bytes([length, n])
+        for pass_number in order:
+            source = left if pass_number % 2 else right
+            block = source.to_bytes(half, "big").ljust(AES_BLOCK_BYTES - 2, b"\0") + bytes([length, pass_number])
             mask = int.from_bytes(self._encryptor.update(block)[:half], "big")
-            if n % 2:
+            if pass_number % 2:
                 right ^= mask
                 if odd:
                     right &= (1 << 8 * half - 4) - 1
--- a/aspensaddle/frontends/quic/context.py
+++ b/aspensaddle/frontends/quic/context.py
@@ -39,6 +39,6 @@
     counters: Counters
     log: Log
     transport: Transport
-    unix_time: Callable[[], float]  # in seconds; all balancers share this clock
-    now: float = 0.0  # in seconds of a monotonic clock; set by `Engine.advance`
+    unix_time: Callable[[], float]  # returns the Unix time in seconds, a clock that all balancers share
+    now: float = 0.0  # current time of a monotonic clock in seconds; set by `Engine.advance`
     shutting_down: bool = False
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -36,9 +36,10 @@
 from aspensaddle.support.counters import Counters
 from aspensaddle.support.log import Log
 
-# Limits for 0-RTT datagrams that arrive before their Initial: the number of connection IDs, of datagrams to each, and
-# the time for which they are kept
-MAX_EARLY_ZERO_RTT_CIDS, MAX_EARLY_ZERO_RTT_DATAGRAMS, EARLY_ZERO_RTT_SECONDS = 64, 4, 0.5
+# Limits for 0-RTT datagrams that arrive before their Initial
+MAX_EARLY_ZERO_RTT_CIDS = 64  # number of connection IDs
+MAX_EARLY_ZERO_RTT_DATAGRAMS = 4  # number of datagrams to each connection ID
+EARLY_ZERO_RTT_SECONDS = 0.5  # time for which they are kept
 
 
 class Engine:
@@ -108,7 +109,7 @@
             MalformedPacketError: the datagram is not valid QUIC.
         """
         if len(data) < 2:
-            raise MalformedPacketError("the datagram is too short")
+            raise MalformedPacketError("the datagram has fewer than 2 bytes")
         if data[0] & 0x80:
             self._handle_long_header(data, client_address)
             return
@@ -141,7 +142,10 @@
                 # A client keeps its address until the handshake is confirmed (RFC 9000, 9). Copies of its packets
                 # that are sent from other addresses must not open paths to the server.
                 context.counters.add("quic from elsewhere")
-            elif any(p.type is QuicPacketType.INITIAL for p in packets) and len(data) < MIN_INITIAL_DATAGRAM_BYTES:
+            elif (
+                any(packet.type is QuicPacketType.INITIAL for packet in packets)
+                and len(data) < MIN_INITIAL_DATAGRAM_BYTES
+            ):
                 context.counters.add("quic short initials")  # RFC 9000, 14.1
             elif setup is None:
                 sessions.forward_to_server(session, data, client_address)
@@ -285,7 +289,7 @@
         self.session_setup.run_timers()
 
     def sweep(self) -> None:
-        """End sessions, of a part of all, that are idle or whose server is lost."""
+        """Check a part of the sessions, and end those that are idle or have lost their server."""
         self.sessions.sweep()
         self.session_setup.carry_out_actions()
 
--- a/aspensaddle/frontends/quic/flight.py
+++ b/aspensaddle/frontends/quic/flight.py
@@ -19,17 +19,20 @@
 from aspensaddle.frontends.quic.initial import InitialFrames, InitialKeys
 from aspensaddle.frontends.quic.packets import Packet
 
-MAX_INITIALS, MAX_INITIAL_BYTES = 24, 32768  # datagrams with Initials in one flight
-MAX_ZERO_RTT_DATAGRAMS, MAX_ZERO_RTT_BYTES = 10, 15000  # datagrams with 0-RTT in one flight
+MAX_INITIAL_DATAGRAMS = 24  # limit of stored datagrams with Initials in one flight
+MAX_INITIAL_BYTES = 32768  # limit of the total size of these datagrams
+MAX_ZERO_RTT_DATAGRAMS = 10  # limit of stored datagrams with 0-RTT in one flight
+MAX_ZERO_RTT_BYTES = 15000  # limit of the total size of these datagrams
 
 
 class AddResult(Enum):
     """The result of adding a client's datagram to a flight."""
 
-    STORED = "new"  # kept; the server of the current attempt gets it too
-    # Not kept: only the server of the current attempt gets it, which may have lost the data that it repeats.
+    STORED = "new"  # the datagram is stored, and the server of the current attempt gets it too
+    # The datagram is not stored. Only the server of the current attempt gets it, since that server may have lost the
+    # data that it repeats.
     FORWARD_ONLY = "repeated"
-    DROPPED = "dropped"  # not for any server: it cannot be decrypted, or there is no room
+    DROPPED = "dropped"  # no server gets the datagram: it cannot be decrypted, or the flight is full
 
 
 class Flight:
@@ -40,7 +43,7 @@
     def __init__(self, dcid: bytes) -> None:
         """Start an empty flight to `dcid`, from which the Initial keys are derived."""
         self.keys = InitialKeys(dcid)
-        self.client_hello: ClientHello | None = None  # set when it is complete
+        self.client_hello: ClientHello | None = None  # None until the ClientHello is complete
         self._initials: list[bytes] = []
         self._zero_rtt: list[bytes] = []
         self._crypto_stream = CryptoStreamReassembler()
@@ -76,12 +79,12 @@
         if data in self._stored:  # an exact copy was made by the network; a client's retransmission differs
             return AddResult.DROPPED
         has_new_crypto = has_initial = has_zero_rtt = False
-        for i, packet in enumerate(packets):
+        for index, packet in enumerate(packets):
             if packet.type is QuicPacketType.ZERO_RTT:
                 has_zero_rtt = True
             elif packet.type is QuicPacketType.INITIAL:
                 frames = (
-                    decrypted if i == 0 and decrypted is not None else self.keys.decrypt(packet, from_client=True)
+                    decrypted if index == 0 and decrypted is not None else self.keys.decrypt(packet, from_client=True)
                 )
                 if frames is None:
                     continue
@@ -91,7 +94,7 @@
         if not has_initial and not has_zero_rtt:
             return AddResult.DROPPED
         if has_new_crypto:
-            result = self._store(self._initials, data, MAX_INITIALS, MAX_INITIAL_BYTES)
+            result = self._store(self._initials, data, MAX_INITIAL_DATAGRAMS, MAX_INITIAL_BYTES)
             self._read_client_hello()
             return result
         return (
--- a/aspensaddle/frontends/quic/frontend.py
+++ b/aspensaddle/frontends/quic/frontend.py
@@ -17,7 +17,7 @@
 from aspensaddle.support.log import Log
 
 SWEEP_INTERVAL_SECONDS = 0.1  # each sweep checks a part of the sessions
-MAX_READ_ROUNDS = 8  # rounds of reading before the other tasks of the process run
+MAX_READ_ROUNDS = 8  # limit of rounds of reading before the other tasks of the process run
 FIXED = ("listen",)  # settings that only a restart can change
 
 
@@ -64,7 +64,7 @@
 
     def configure(self, settings: QuicSettings) -> list[str]:
         """Use other settings from now on; return the names of changed settings that need a restart."""
-        needs_restart = [n for n in FIXED if getattr(settings, n) != getattr(self.settings, n)]
+        needs_restart = [name for name in FIXED if getattr(settings, name) != getattr(self.settings, name)]
         self.settings = settings
         self.engine.context.now = trio.current_time()
         self.engine.configure(settings)
@@ -98,19 +98,19 @@
             self.engine.handle_client_datagram(data, client_address)
         except MalformedPacketError:
             self.counters.add("quic malformed")
-        except Exception as e:  # an internal error costs one datagram, not the front end
-            self._report_internal_error(e)
+        except Exception as error:  # an internal error costs one datagram, not the front end
+            self._report_internal_error(error)
 
     def _handle_server_datagram(self, data: bytes, slot: int, server_address: ServerAddress) -> None:
         self.counters["quic datagrams back"] += 1
         try:
             self.engine.handle_server_datagram(data, slot, server_address)
-        except Exception as e:
-            self._report_internal_error(e)
+        except Exception as error:
+            self._report_internal_error(error)
 
-    def _report_internal_error(self, e: Exception) -> None:
+    def _report_internal_error(self, error: Exception) -> None:
         self.counters.add("internal_errors")
-        self.log.rate_limited_event("internal_error", error=repr(e))
+        self.log.rate_limited_event("internal_error", error=repr(error))
 
     # Timers
 
@@ -122,7 +122,7 @@
             self._wakeup.set()
 
     async def _run_timers(self) -> None:
-        """Run the engine's timers when they are due: of attempts and of incomplete ClientHellos."""
+        """Run the engine's timers, for attempts and incomplete ClientHellos, when they are due."""
         while True:
             self._wakeup = trio.Event()
             due_at = self.engine.next_timer()
--- a/aspensaddle/frontends/quic/initial.py
+++ b/aspensaddle/frontends/quic/initial.py
@@ -2,7 +2,7 @@
 
 Their keys are derived from the client's first Destination Connection ID, so anyone who has seen the client's first
 Initial can do both (RFC 9001, 5.2; RFC 9369, 3.3). Before the handshake there is no stronger authentication than
-this: whoever has not seen that Initial cannot forge packets of either side.
+this: a host that has not seen that Initial cannot forge packets of either side.
 """
 
 from __future__ import annotations
@@ -15,11 +15,19 @@
 
 from aspensaddle.frontends.quic.packets import Packet
 
-# Transport error codes
-NO_ERROR, INTERNAL_ERROR, CONNECTION_REFUSED, INVALID_TOKEN = 0x00, 0x01, 0x02, 0x0B
-# Frame types
-PADDING, PING, ACK, ACK_ECN, CRYPTO, CONNECTION_CLOSE = 0x00, 0x01, 0x02, 0x03, 0x06, 0x1C
-MAX_FRAMES = 256  # frames of one packet other than PADDING and PING
+# Transport error codes (RFC 9000, 20.1)
+NO_ERROR = 0x00
+INTERNAL_ERROR = 0x01
+CONNECTION_REFUSED = 0x02
+INVALID_TOKEN = 0x0B
+# Frame types (RFC 9000, 19)
+PADDING = 0x00
+PING = 0x01
+ACK = 0x02
+ACK_ECN = 0x03
+CRYPTO = 0x06
+CONNECTION_CLOSE = 0x1C
+MAX_FRAMES = 256  # limit of the frames in one packet, not counting PADDING and PING
 
 
 @dataclass(slots=True)
@@ -101,7 +109,7 @@
         if frame_type in (PADDING, PING):
             continue
         if (count := count + 1) > MAX_FRAMES:
-            raise ValueError("the payload has too many frames")
+            raise ValueError(f"the payload has more than {MAX_FRAMES} frames")
         if frame_type in (ACK, ACK_ECN):
             pull_ack_frame(buf)
             if frame_type == ACK_ECN:
@@ -116,5 +124,5 @@
             buf.pull_uint_var()
             buf.pull_bytes(buf.pull_uint_var())
         else:
-            raise ValueError("the frame type is not allowed in an Initial")
+            raise ValueError(f"frame type {frame_type:#x} is not allowed in an Initial")
     return frames
--- a/aspensaddle/frontends/quic/packets.py
+++ b/aspensaddle/frontends/quic/packets.py
@@ -20,9 +20,9 @@
 )
 
 SUPPORTED_VERSIONS = (QuicProtocolVersion.VERSION_1, QuicProtocolVersion.VERSION_2)
-MIN_INITIAL_DATAGRAM_BYTES = 1200  # size of a datagram with a client's Initial
+MIN_INITIAL_DATAGRAM_BYTES = 1200  # minimum size of a datagram with a client's Initial (RFC 9000, 14.1)
 MIN_STATELESS_RESET_BYTES = 21
-MIN_CLIENT_CHOSEN_DCID_BYTES = 8  # length of a Destination Connection ID that a client chooses (RFC 9000, 7.2)
+MIN_CLIENT_CHOSEN_DCID_BYTES = 8  # minimum length of a DCID that a client chooses (RFC 9000, 7.2)
 MAX_PACKETS_PER_DATAGRAM = 8
 
 
@@ -36,7 +36,7 @@
 
     is_long: bool
     version: int
-    dcid: bytes  # with a short header: everything after the first byte
+    dcid: bytes  # in a short header, everything after the first byte, as its length is not in the header
     scid: bytes
 
 
@@ -71,7 +71,7 @@
     scid: bytes
     token: bytes
     data: bytes
-    protected_offset: int  # where the protected part of `data` begins
+    protected_offset: int  # offset of the protected part in `data`
 
     def is_retry_for(self, dcid: bytes) -> bool:
         """Return whether this is a Retry whose sender has seen the Initial sent to that connection ID."""
@@ -114,7 +114,7 @@
     return encode_quic_version_negotiation(
         source_cid=header.dcid,
         destination_cid=header.scid,
-        supported_versions=[int(v) for v in SUPPORTED_VERSIONS],
+        supported_versions=[int(version) for version in SUPPORTED_VERSIONS],
     )
 
 
@@ -147,7 +147,9 @@
     except MalformedPacketError:
         return False
     version_list = data[7 + len(header.dcid) + len(header.scid) :]
-    versions = {int.from_bytes(version_list[i : i + 4], "big") for i in range(0, len(version_list) - 3, 4)}
+    versions = {
+        int.from_bytes(version_list[start : start + 4], "big") for start in range(0, len(version_list) - 3, 4)
+    }
     return (
         header.is_long
         and header.version == 0
--- a/aspensaddle/frontends/quic/retry_tokens.py
+++ b/aspensaddle/frontends/quic/retry_tokens.py
@@ -29,7 +29,9 @@
 
 SERVICE_FLAG = 0x80
 MAX_KEY_SEQUENCE = 127
-NONCE_BYTES, TAG_BYTES, KEY_BYTES = 12, 16, 16
+NONCE_BYTES = 12  # size of the AES-GCM nonce
+TAG_BYTES = 16  # size of the AES-GCM authentication tag
+KEY_BYTES = 16  # size of an AES-128 key
 HEADER = struct.Struct("!BBH16s")  # lengths of both connection IDs, the client's port and address
 TIMESTAMP = struct.Struct("!Q")
 MIN_TOKEN_BYTES = 1 + NONCE_BYTES + HEADER.size + TIMESTAMP.size + TAG_BYTES
@@ -40,10 +42,10 @@
     """The result of checking a token. The values are part of counter names."""
 
     VALID = "valid"
-    ABSENT = "none"  # no token, a server's own, forged or cut off: all are treated as no token
+    ABSENT = "none"  # no token, a server's own, a forged one or one cut off: each is treated as no token
     EXPIRED = "expired"
-    WRONG_ADDRESS = "elsewhere"  # genuine, but issued to another client address
-    WRONG_CONNECTION_ID = "misplaced"  # genuine, but in an Initial to another connection ID than the Retry gave
+    WRONG_ADDRESS = "elsewhere"  # a genuine token that was issued to another client address
+    WRONG_CONNECTION_ID = "misplaced"  # a genuine token in an Initial to another connection ID than the Retry gave
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +76,7 @@
         if not 0 <= self.sequence <= MAX_KEY_SEQUENCE:
             raise ValueError(f"sequence must be 0 to {MAX_KEY_SEQUENCE}, not {self.sequence}")
         if len(self.secret) != KEY_BYTES:
-            raise ValueError(f"key must be {KEY_BYTES} bytes")
+            raise ValueError(f"key must be {KEY_BYTES} bytes, not {len(self.secret)}")
         if not self.since < self.until:
             raise ValueError("until must be later than since")
 
@@ -113,18 +115,18 @@
             retry_scid: the connection ID that the Retry gives.
             unix_time: the current Unix time in seconds.
         """
-        ready = [k for k, _ in self._keys.values() if k.since <= unix_time < k.until]
-        if not ready:
+        usable_keys = [key for key, _ in self._keys.values() if key.since <= unix_time < key.until]
+        if not usable_keys:
             return None
-        key = max(ready, key=lambda k: (k.since, k.sequence))
-        head = bytes([SERVICE_FLAG | key.sequence]) + os.urandom(NONCE_BYTES)
+        newest_key = max(usable_keys, key=lambda key: (key.since, key.sequence))
+        head = bytes([SERVICE_FLAG | newest_key.sequence]) + os.urandom(NONCE_BYTES)
         body = (
             HEADER.pack(len(original_dcid), len(retry_scid), port, _address_bytes(host))
             + original_dcid
             + retry_scid
             + TIMESTAMP.pack(int(unix_time * 1000))
         )
-        return head + self._keys[key.sequence][1].encrypt(head[1:], body, head)
+        return head + self._keys[newest_key.sequence][1].encrypt(head[1:], body, head)
 
     def unseal(self, token: bytes, unix_time: float) -> TokenContents | None:
         """Return a token's contents, or None if no key in force at this Unix time in seconds decrypts it.
--- a/aspensaddle/frontends/quic/session_setup.py
+++ b/aspensaddle/frontends/quic/session_setup.py
@@ -29,9 +29,9 @@
 from aspensaddle.frontends.quic.session_table import SERVER_UNREACHABLE, SessionTable
 from aspensaddle.support.hashing import stable_hash
 
-RESPONSE_MARGIN_SECONDS = 0.03  # part of the client's deadline that is kept for the way of the response
-RETRY_AFTER_SECONDS = 1.0  # for clients that are rejected at capacity or during shutdown
-MAX_EARLY_REPLIES = 16  # server datagrams held until one is authenticated
+RESPONSE_MARGIN_SECONDS = 0.03  # part of the client's deadline that is reserved for sending the response
+RETRY_AFTER_SECONDS = 1.0  # Retry-After for clients that are rejected at capacity or during shutdown
+MAX_EARLY_REPLIES = 16  # limit of the server datagrams held until one is authenticated
 CRYPTO_BUFFER_EXCEEDED = 0x0D  # transport error code
 
 
@@ -100,9 +100,9 @@
             setup.amplification_limit.record_received(len(data), b"")
         try:
             result = setup.flight.add_datagram(data, packets, first_frames)
-        except ClientHelloError as e:
+        except ClientHelloError as error:
             self.context.counters.add("quic bad hellos")
-            self.context.log.rate_limited_event("quic bad hello", why=str(e))
+            self.context.log.rate_limited_event("quic bad hello", why=str(error))
             self._close(session, setup, CRYPTO_BUFFER_EXCEEDED, b"", "quic failed")
             return
         if result is AddResult.DROPPED:
@@ -151,9 +151,9 @@
                 continue
             try:
                 self._carry_out(session, action)
-            except Exception as e:  # an internal error ends one session, not the front end
+            except Exception as error:  # an internal error ends one session, not the front end
                 self.context.counters.add("internal_errors")
-                self.context.log.event("internal_error", error=repr(e), session=session.id)
+                self.context.log.event("internal_error", error=repr(error), session=session.id)
                 self._abort(session)
         pending_actions.clear()
 
@@ -179,7 +179,7 @@
     # Attempts
 
     def _start_attempt(self, session: Session, setup: SetupState, action: StartAttempt) -> None:
-        """Send what the client has sent so far to a server."""
+        """Start an attempt: send the client's datagrams so far to a server."""
         context = self.context
         context.counters.add("quic attempts")
         setup.attempts += 1
--- a/aspensaddle/frontends/quic/session_table.py
+++ b/aspensaddle/frontends/quic/session_table.py
@@ -17,10 +17,11 @@
 from aspensaddle.frontends.quic.responder import Responder
 from aspensaddle.frontends.quic.session import ClientAddress, Path, Session, SessionEnd
 
-MAX_SESSION_CIDS = 8  # the latest connection IDs of a session that are remembered
-RESET_MEMORY_SECONDS = 30.0  # time in which connection IDs of a reset session are answered with a stateless reset
-# A server that answers none of this many datagrams for this many seconds is lost.
-SERVER_SILENCE_SECONDS, MIN_UNANSWERED_DATAGRAMS = 4.5, 3
+MAX_SESSION_CIDS = 8  # limit of the remembered connection IDs of a session, the latest ones
+RESET_MEMORY_SECONDS = 30.0  # time for which packets to a reset session's connection IDs get a stateless reset
+# A server counts as lost if it has answered none of at least this many datagrams for this time.
+SERVER_SILENCE_SECONDS = 4.5
+MIN_UNANSWERED_DATAGRAMS = 3
 SHORT_QUARANTINE_SECONDS = 0.25  # quarantine of a path on which the server never sent anything
 CONFIRMING_BYTES = 128  # an adopted session is confirmed by more bytes from its server; stateless resets have fewer
 SWEEP_PARTS = 5  # each sweep checks a part of the sessions, so that none delays datagrams for long
@@ -44,10 +45,10 @@
         self.pending_actions: list[tuple[Session, RequestAction]] = []
         # The session of each client-chosen connection ID; None if its final response was sent.
         self.by_client_cid: ExpiringMap[Session | None] = ExpiringMap(0, 0.0)
-        self.by_server_cid: dict[bytes, Session] = {}  # by connection IDs that servers issued
+        self.by_server_cid: dict[bytes, Session] = {}  # keys are connection IDs that servers issued
         self.reset_cids: ExpiringMap[bool] = ExpiringMap(0, 0.0)
         self.by_address: dict[ClientAddress, Session] = {}  # sessions whose connection IDs are not routable
-        self._unconfirmed: OrderedDict[str, Session] = OrderedDict()  # adopted; the server has sent too little so far
+        self._unconfirmed: OrderedDict[str, Session] = OrderedDict()  # adopted sessions that no server has confirmed
         self._created_count = 0
         self._remaining_to_sweep: Iterator[Session] = iter(())
         self.configure()
@@ -147,7 +148,7 @@
 
     def _switch_path(self, session: Session, client_address: ClientAddress) -> Path | None:
         """Use the path of another address of the client, which is opened if there is none (RFC 9000, 9)."""
-        path = next((p for p in session.other_paths or () if p.client_address == client_address), None)
+        path = next((other for other in session.other_paths or () if other.client_address == client_address), None)
         if path is None:
             if len(session.all_paths()) >= MAX_PATHS_PER_SESSION:
                 self.paths.close((session.other_paths or [])[0])
@@ -163,7 +164,7 @@
 
     def use_path(self, session: Session, path: Path) -> None:
         """Make a path the session's current one and keep the former one among its other paths."""
-        others = [p for p in session.other_paths or () if p is not path]
+        others = [other for other in session.other_paths or () if other is not path]
         if session.path is not None and session.path is not path:
             others.append(session.path)
         session.path, session.other_paths = path, others or None
@@ -236,9 +237,11 @@
     def forget_unreadable_cids(self) -> None:
         """Forget connection IDs of configurations that were retired or that a reload has removed."""
         unix_time = self.context.unix_time()
-        for dcid in [d for d in self.by_server_cid if not self.context.directory.may_identify_session(d, unix_time)]:
+        for dcid in [
+            cid for cid in self.by_server_cid if not self.context.directory.may_identify_session(cid, unix_time)
+        ]:
             session = self.by_server_cid.pop(dcid)
-            session.cids = tuple(i for i in session.cids if i != dcid)
+            session.cids = tuple(cid for cid in session.cids if cid != dcid)
 
     def sweep(self) -> None:
         """Check a part of the sessions and end those that are idle or whose server is lost."""
--- a/aspensaddle/frontends/quic/sockets.py
+++ b/aspensaddle/frontends/quic/sockets.py
@@ -17,9 +17,12 @@
 from aspensaddle.support.counters import Counters
 
 MAX_DATAGRAM_BYTES = 65536
-MAX_BATCH_DATAGRAMS = 64  # datagrams read from one socket before the next, so that a busy sender starves no other
+MAX_BATCH_DATAGRAMS = 64  # limit of datagrams read from one socket before the next, so that none is starved
 RECEIVE_BUFFER_BYTES = 4 << 20  # requested for the client socket; the system may grant less
-IP_RECVERR, IPV6_RECVERR, MSG_ERRQUEUE = 11, 25, 0x2000  # linux/in.h, linux/in6.h, bits/socket.h
+# Linux constants that the socket module lacks
+IP_RECVERR = 11  # defined in linux/in.h
+IPV6_RECVERR = 25  # defined in linux/in6.h
+MSG_ERRQUEUE = 0x2000  # defined in bits/socket.h
 
 
 class UdpSockets:
@@ -62,16 +65,16 @@
     # Sending
 
     def open_socket(self, slot: int) -> bool:
-        """Open the socket of a slot unless it is open; return False if the system has none left."""
+        """Open the socket of a slot unless it is open; return False if the system has no free descriptor."""
         if slot in self._slots:
             return True
         try:
             sock = self._create_socket()
-        except OSError as e:
-            self.counters.add(f"quic socket {errno.errorcode.get(e.errno or 0, 'failed')}")
+        except OSError as error:
+            self.counters.add(f"quic socket {errno.errorcode.get(error.errno or 0, 'failed')}")
             return False
         # With this option the system reports ICMP errors, and for which server they are although the socket is not
-        # connected. So an attempt at a server that is not there ends at once instead of timing out.
+        # connected. So an attempt at a server that does not listen ends at once instead of timing out.
         if self.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_IP, IP_RECVERR, 1)
         else:
@@ -85,17 +88,17 @@
         """Send a datagram to a client, or count why it could not be sent."""
         try:
             self._client.sendto(data, client_address)
-        except OSError as e:
-            self._count_send_error(e)
+        except OSError as error:
+            self._count_send_error(error)
 
     def send_to_server(self, data: bytes, path: Path) -> None:
         """Send a datagram from the path's socket to its server, or count why it could not be sent."""
         sock = self._slots[path.slot]
         try:
             sock.sendto(data, path.server_address)
-        except OSError as e:
-            if e.errno in (errno.EAGAIN, errno.ENOBUFS, errno.EMSGSIZE):
-                self._count_send_error(e)
+        except OSError as error:
+            if error.errno in (errno.EAGAIN, errno.ENOBUFS, errno.EMSGSIZE):
+                self._count_send_error(error)
                 return
             # The system reports an error of an earlier datagram, maybe to another server, at the socket's next use.
             self._read_error_queue(path.slot, sock)
@@ -104,8 +107,8 @@
             except OSError as second_error:
                 self._count_send_error(second_error)
 
-    def _count_send_error(self, e: OSError) -> None:
-        self.counters.add(f"quic not sent {errno.errorcode.get(e.errno or 0, 'failed')}")
+    def _count_send_error(self, error: OSError) -> None:
+        self.counters.add(f"quic not sent {errno.errorcode.get(error.errno or 0, 'failed')}")
 
     # Receiving
 
@@ -135,8 +138,8 @@
                 data, client_address = receive(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return count
-            except OSError as e:
-                self.counters.add(f"quic receive {errno.errorcode.get(e.errno or 0, 'failed')}")
+            except OSError as error:
+                self.counters.add(f"quic receive {errno.errorcode.get(error.errno or 0, 'failed')}")
                 return count
             handle(data, client_address)
         return MAX_BATCH_DATAGRAMS
--- a/tests/test_quic_hello.py
+++ b/tests/test_quic_hello.py
@@ -17,7 +17,7 @@
     CryptoStreamReassembler,
     parse_client_hello,
 )
-from aspensaddle.frontends.quic.flight import MAX_INITIALS, AddResult, Flight
+from aspensaddle.frontends.quic.flight import MAX_INITIAL_DATAGRAMS, AddResult, Flight
 from aspensaddle.frontends.quic.packets import parse_long_header_packets
 from aspensaddle.frontends.quic.session_rules import parse_rules
 from aspensaddle.support.json_fields import DecodeError
@@ -109,7 +109,7 @@
             flight.add_datagram(data, parse_long_header_packets(data)) is AddResult.DROPPED
             and not flight.stored_bytes
         )
-    assert MAX_INITIALS * 1200 < 32768
+    assert MAX_INITIAL_DATAGRAMS * 1200 < 32768
 
 
 @hypothesis.seed(0x73D50926EBC38ADD658D188DF4305CA2DFA847ED247C340F77BABE99F6A8195F4B1548082980A8501CE7C2BD402E2A5)
