--- a/aspensaddle/frontends/line_protocol/connection_adopter.py
+++ b/aspensaddle/frontends/line_protocol/connection_adopter.py
@@ -19,10 +19,10 @@
 from aspensaddle.frontends.line_protocol.server_connector import AttemptEstablished
 
 ADOPTION_TIMEOUT_SECONDS = 38.0  # the protocol counts a connection as lost after 40 s
-ATTEMPT_TIMEOUT_SECONDS = 5.0  # for a silent server, if the class allows another attempt
-INITIAL_BACKOFF_SECONDS = 0.5
+ATTEMPT_TIMEOUT_SECONDS = 5.0  # time limit for a silent server, if the class allows another attempt
+INITIAL_BACKOFF_SECONDS = 0.5  # pause after the first attempt; it doubles with each further one
 MAX_BACKOFF_SECONDS = 8.0  # the pauses between six attempts cover most of the adoption timeout
-ENDPOINT_LIST_CHECK_SECONDS = 0.1  # between two checks whether the endpoint list has the server
+ENDPOINT_LIST_CHECK_SECONDS = 0.1  # pause between two checks whether the endpoint list has the server
 
 
 class AdoptionResult(Enum):
@@ -32,7 +32,7 @@
     SERVED = "served"  # the server answered the request at once, without an open connection
     CLIENT_DISCONNECTED = "client_disconnected"
     PROTOCOL_VIOLATION = "protocol_violation"
-    SERVER_UNAVAILABLE = "server_unavailable"  # it is draining or has left the endpoint list
+    SERVER_UNAVAILABLE = "server_unavailable"  # the server is draining or has left the endpoint list
     RETRY_NOT_ALLOWED = "retry_not_allowed"  # an attempt may have been executed, and the class forbids another
     ATTEMPTS_EXHAUSTED = "attempts_exhausted"
     DEADLINE_EXCEEDED = "deadline_exceeded"
@@ -52,8 +52,8 @@
     attempts: int = 0
     possibly_executed_at: float | None = None
     established: AttemptEstablished | None = None
-    response: bytes = b""  # from a server that served the request at once
-    result: AdoptionResult = AdoptionResult.CLIENT_DISCONNECTED  # also if the adoption is cancelled
+    response: bytes = b""  # the response of a server that served the request at once
+    result: AdoptionResult = AdoptionResult.CLIENT_DISCONNECTED  # stays if the adoption is cancelled
 
     @property
     def may_retry(self) -> bool:
--- a/aspensaddle/frontends/line_protocol/connection_handler.py
+++ b/aspensaddle/frontends/line_protocol/connection_handler.py
@@ -17,8 +17,8 @@
 from aspensaddle.frontends.line_protocol.responses import ERROR, PONG, ConnectionEnd
 from aspensaddle.support.internal_errors import record_internal_error
 
-RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # for the client to receive its response
-MAX_PINGS = 16  # PING commands before an OPEN
+RESPONSE_SEND_TIMEOUT_SECONDS = 0.5  # time limit for sending a client its response
+MAX_PINGS = 16  # limit of the PING commands before an OPEN
 # A first line read within this many passes of the event loop may have arrived together with its connection.
 MAX_LOOP_PASSES_SINCE_ACCEPT = 2
 
@@ -98,13 +98,13 @@
         open_request = await self._read_first_line_in_time(link, slot)
         if open_request is None:
             if slot.first_line_scope.cancelled_caught and not slot.evicted:
-                raise InvalidOpenError("no complete first line in time")
+                raise InvalidOpenError("the first line was not complete in time")
             return None
         request_id = open_request.request.request_id
         if request_id in self._frontend.driver or request_id in self._frontend.pending_requests:
-            raise InvalidOpenError("request id is in use")  # by another request, which continues
+            raise InvalidOpenError("the request id is in use")  # the other request with this id continues
         if link.has_line_starting_with(COMMANDS):
-            raise InvalidOpenError("another command before the response")
+            raise InvalidOpenError("the client sent another command before the response")
         return open_request
 
     async def _read_first_line_in_time(self, link: Link, slot: ConnectionSlot) -> OpenRequest | None:
@@ -131,7 +131,7 @@
                 return parse_open(line, config.classes, config.settings.session_groups, config.tenants)
             pings += 1
             if pings > MAX_PINGS:
-                raise InvalidOpenError("too many PING commands")
+                raise InvalidOpenError(f"more than {MAX_PINGS} PING commands before the OPEN")
             self._frontend.counters.add("pings_received")
             await link.send(PONG)
         return None
--- a/aspensaddle/frontends/line_protocol/connection_slots.py
+++ b/aspensaddle/frontends/line_protocol/connection_slots.py
@@ -22,15 +22,15 @@
 from aspensaddle.frontends.line_protocol.link import Link
 from aspensaddle.support.counters import Counters
 
-ACCEPT_BATCH = 16  # connections accepted before the tasks of open connections run again
+ACCEPT_BATCH = 16  # limit of connections accepted before the tasks of open connections run again
 # Descriptors for everything but clients, servers and health checks: standard streams 3, event loop 5, listener 1,
 # discovery calls 3, a file being read 2; plus one batch of connections that are evicted and not closed yet.
 RESERVED_DESCRIPTORS = 14 + ACCEPT_BATCH
-MIN_STAGE_SHARE = 8  # descriptors for waiting connections, and as many for lingering ones
-# From the accept to the end of the first line. The protocol allows a client 3 s from its connect.
+MIN_STAGE_SHARE = 8  # descriptors always left to waiting connections, and as many to lingering ones
+# Time limit from the accept to the end of the first line. The protocol allows a client 3 s from its connect.
 FIRST_LINE_TIMEOUT_SECONDS = 2.0
-LINGER_TIMEOUT_SECONDS = 0.7  # the client's connection must end within a second of its server's
-CLOSING_CHECK_SECONDS = 0.001  # between two checks whether evicted connections have closed
+LINGER_TIMEOUT_SECONDS = 0.7  # a client's connection must end within 1 s of the end of its server's
+CLOSING_CHECK_SECONDS = 0.001  # pause between two checks whether evicted connections have closed
 
 
 class ConnectionStage(Enum):
@@ -86,7 +86,8 @@
         self._stages: dict[ConnectionStage, dict[ConnectionSlot, None]] = {
             stage: {} for stage in ConnectionStage
         }  # the oldest connection of each stage first
-        self._closing: set[ConnectionSlot] = set()  # evicted or aborted, but not closed by their tasks yet
+        # Connections that were evicted or aborted, but that their tasks have not closed yet
+        self._closing: set[ConnectionSlot] = set()
         self._evicts_new = False
         self.starting = 0
         self.configure(sockets, reserve)
--- a/aspensaddle/frontends/line_protocol/health_checker.py
+++ b/aspensaddle/frontends/line_protocol/health_checker.py
@@ -16,8 +16,8 @@
 from aspensaddle.support.counters import Counters
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.5
-MAX_HEALTH_CHECK_CONNECTIONS = 64  # idle or in use
-DESCRIPTORS_PER_HEALTH_CHECK = 16  # of the process, for each descriptor of a health check
+MAX_HEALTH_CHECK_CONNECTIONS = 64  # limit of the connections for health checks, idle or in use
+DESCRIPTORS_PER_HEALTH_CHECK = 16  # health checks may hold one in this many of the process's descriptors
 MAX_REPORT_FIELDS = 32
 STATS = b"STATS\r\n"
 
@@ -128,9 +128,9 @@
     def _keep_or_close(self, server: int, link: Link, outcome: Outcome) -> None:
         """Keep a connection whose response is complete, as far as descriptors allow; close any other.
 
-        On an incomplete one, a late response could be read as the response to the next health check.
+        If a response is incomplete, what arrives later could be read as the response to the next health check.
         """
-        for departed in [s for s in self._idle if s not in self._endpoints.addresses]:
+        for departed in [known for known in self._idle if known not in self._endpoints.addresses]:
             self._idle.pop(departed).close()
         if (
             outcome is Outcome.OK
--- a/aspensaddle/frontends/line_protocol/link.py
+++ b/aspensaddle/frontends/line_protocol/link.py
@@ -11,9 +11,9 @@
 
 from aspensaddle.frontends.line_protocol.errors import ConnectionBrokenError, LineTooLongError
 
-MAX_LINE_BYTES = 4096  # the line's end included
+MAX_LINE_BYTES = 4096  # limit of a line, its end included
 READ_CHUNK_BYTES = 4096
-MAX_LINGER_BYTES = 65536  # limit of the bytes read after the last response
+MAX_LINGER_BYTES = 65536  # limit of the bytes read during a lingering close
 
 
 def first_word(line: bytes) -> bytes:
--- a/aspensaddle/frontends/line_protocol/listener.py
+++ b/aspensaddle/frontends/line_protocol/listener.py
@@ -11,7 +11,7 @@
 from aspensaddle.frontends.line_protocol.frontend_state import FrontendState
 from aspensaddle.support.sockets import Listener
 
-NO_DESCRIPTOR_PAUSE_SECONDS = 0.005  # for evicted connections to close
+NO_DESCRIPTOR_PAUSE_SECONDS = 0.005  # pause without accepts in which evicted connections can close
 
 
 class ClientListener:
--- a/aspensaddle/frontends/line_protocol/load_report_parser.py
+++ b/aspensaddle/frontends/line_protocol/load_report_parser.py
@@ -19,8 +19,8 @@
 
 from aspensaddle.core.settings import Settings
 
-MIN_LOAD_RATIO = 0.05  # of the previous load; a load rarely drops below this at once
-LATENCY_INTERVAL_SECONDS = 1.0  # between two latency reports of a server
+MIN_LOAD_RATIO = 0.05  # a load rarely drops at once below this part of the previous load
+LATENCY_INTERVAL_SECONDS = 1.0  # time between two latency reports of a server
 LATENCY_INTERVAL_TOLERANCE_SECONDS = 0.1
 MAX_REPORTED_VALUE = 1e12
 MICROSECONDS_PER_SECOND = 1e6
--- a/aspensaddle/frontends/line_protocol/open_connections.py
+++ b/aspensaddle/frontends/line_protocol/open_connections.py
@@ -20,7 +20,7 @@
     def __init__(self, frontend: FrontendState) -> None:
         """Start without connections."""
         self._frontend = frontend
-        self._latency_schedules: dict[int, LatencySchedule] = {}  # by server
+        self._latency_schedules: dict[int, LatencySchedule] = {}  # keys are server numbers
 
     async def serve(
         self, client: Link, state: RequestState, request_id: str, server: int, established: AttemptEstablished
@@ -45,7 +45,7 @@
         self._report_end(relay, outcome, migrated, trio.current_time() - started_at)
         if not migrated:
             return ConnectionEnd(reset=relay.reset)
-        return ConnectionEnd(MIGRATE, reset=not relay.client_at_line_end)  # no line can follow an incomplete one
+        return ConnectionEnd(MIGRATE, reset=not relay.client_at_line_end)  # a line cannot follow an incomplete one
 
     def _report_end(self, relay: Relay, outcome: Outcome, migrated: bool, duration: float) -> None:
         frontend = self._frontend
@@ -61,7 +61,9 @@
             frontend.log.event("connection_migrated", request_id=relay.request_id, server_silent=relay.server_silent)
 
     def _latency_schedule(self, server: int) -> LatencySchedule:
-        for departed in [s for s in self._latency_schedules if s not in self._frontend.endpoints.addresses]:
+        for departed in [
+            known for known in self._latency_schedules if known not in self._frontend.endpoints.addresses
+        ]:
             del self._latency_schedules[departed]
         return self._latency_schedules.setdefault(server, LatencySchedule())
 
--- a/aspensaddle/frontends/line_protocol/open_request.py
+++ b/aspensaddle/frontends/line_protocol/open_request.py
@@ -81,9 +81,9 @@
     try:
         word, request_id, key, *rest = line.decode("ascii").rstrip("\r\n").split(" ")
     except (ValueError, UnicodeDecodeError):
-        raise InvalidOpenError("not OPEN ID KEY NAME=VALUE,..") from None
+        raise InvalidOpenError("the line is not OPEN ID KEY NAME=VALUE,..") from None
     if word != "OPEN" or not _WORD.fullmatch(request_id) or not _WORD.fullmatch(key) or len(rest) != 1:
-        raise InvalidOpenError("not OPEN ID KEY NAME=VALUE,..")
+        raise InvalidOpenError("the line is not OPEN ID KEY NAME=VALUE,..")
     return request_id, key, rest[0]
 
 
@@ -92,7 +92,7 @@
     for item in fields.split(","):
         name, equals, value = item.partition("=")
         if not name or not equals or name in values or not item.isprintable():
-            raise InvalidOpenError(f"not NAME=VALUE: {item:.40}")
+            raise InvalidOpenError(f"a field is not NAME=VALUE or repeats a name: {item:.40}")
         values[name] = value
     return values
 
@@ -106,7 +106,7 @@
     if (wait is None and "at" not in values) or (
         wait is not None and (not wait.isdigit() or len(wait) > MAX_WAIT_DIGITS)
     ):
-        raise InvalidOpenError("d is not a number of milliseconds")
+        raise InvalidOpenError(f"d is not a number of milliseconds with at most {MAX_WAIT_DIGITS} digits")
     return int(wait) / 1000 if wait else math.inf
 
 
@@ -114,5 +114,5 @@
     if hint is None:
         return None
     if not _NUMBER.fullmatch(hint) or float(hint) >= MAX_LOAD_HINT:
-        raise InvalidOpenError("h is not a number in range")
+        raise InvalidOpenError(f"h is not a number from 0 to less than {MAX_LOAD_HINT:g}")
     return float(hint)
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -18,9 +18,9 @@
 # A server that leaves a line unanswered for this long counts as unreachable. The protocol's limit is 7 s. Of that, up
 # to 2 s pass before the client sends its next line, and the periodic check runs four times a second.
 SERVER_SILENCE_TIMEOUT_SECONDS = 4.5
-SERVER_END_TIMEOUT_SECONDS = 5.0  # for a server to end its sending after the client has
-CLIENT_SEND_TIMEOUT_SECONDS = 0.9  # the protocol allows a second for a line
-MAX_AWAITED_ECHOES = 64
+SERVER_END_TIMEOUT_SECONDS = 5.0  # time limit for a server to end its sending after the client has
+CLIENT_SEND_TIMEOUT_SECONDS = 0.9  # time limit for sending lines to a client; the protocol allows 1 s for a line
+MAX_AWAITED_ECHOES = 64  # limit of the client lines whose echo is awaited; the oldest are dropped
 SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # except for LOAD, any other line of a server echoes one of the client
 
 
@@ -51,7 +51,7 @@
         self.client, self.server, self.request_id = client, server, request_id
         self.driver, self.counters = driver, counters
         self.load_report_parser = load_report_parser
-        self.outcome = Outcome.CANCELLED  # unless the server ends the connection
+        self.outcome = Outcome.CANCELLED  # stays if the server does not end the connection
         self.client_at_line_end = True
         self.reset = False
         self.server_silent = False
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -17,8 +17,8 @@
 from aspensaddle.frontends.line_protocol.responses import ERROR, ConnectionEnd, response_to
 from aspensaddle.frontends.line_protocol.server_connector import AttemptEstablished, AttemptFailed
 
-RESPONSE_MARGIN_SECONDS = 0.03  # of the client's wait, for the network time of the OPEN and the response
-MAX_LAG_FRACTION = 0.25  # of the client's wait, subtracted at most for the event-loop lag
+RESPONSE_MARGIN_SECONDS = 0.03  # part of the client's wait that is reserved for sending the OPEN and the response
+MAX_LAG_FRACTION = 0.25  # largest part of the client's wait that is subtracted for the event-loop lag
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     started_at: float
     server: int | None = None  # server of the last attempt
     established: AttemptEstablished | None = None
-    decision: Reject | Fail | None = None  # the final one, if any
+    decision: Reject | Fail | None = None  # the final decision, if any
     response: bytes = b""
 
     @property
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -98,7 +98,7 @@
         self.counters.add("attempts_started")
         deadline = trio.current_time() + timeout
         link: Link | None = None
-        outcome, response = Outcome.NOT_SENT, b""  # until the first byte is sent
+        outcome, response = Outcome.NOT_SENT, b""  # the outcome if no byte is sent
         try:
             with trio.move_on_at(deadline):
                 connected = await self._connect(server)
