--- a/aspensaddle/conformance/__init__.py
+++ b/aspensaddle/conformance/__init__.py
@@ -1,4 +1,4 @@
 """The conformance suite of the QUIC front end: stand-in clients and servers, lossy links, and numbered cases.
 
-python -m aspensaddle.conformance [--quick] [--only WORD] [--json FILE] [--seed N]
+python -m aspensaddle.conformance [--quick] [--memory] [--only WORD] [--json FILE] [--seed N] [--jobs N]
 """
--- a/aspensaddle/conformance/memory_frontend.py
+++ b/aspensaddle/conformance/memory_frontend.py
@@ -20,7 +20,7 @@
 from aspensaddle.support.counters import Counters
 
 SWEEP_INTERVAL_SECONDS = 0.1
-UNREACHABLE_DELAY_SECONDS = 0.0002  # until the network reports that no endpoint has the destination address
+UNREACHABLE_DELAY_SECONDS = 0.0002  # delay before the network reports that no endpoint has the destination address
 
 
 class _NullLog:
@@ -141,9 +141,9 @@
         return min(
             self._next_sweep,
             *(
-                t
-                for t in (engine_timer, None if driver_delay is None else self.net.now() + driver_delay)
-                if t is not None
+                due_at
+                for due_at in (engine_timer, None if driver_delay is None else self.net.now() + driver_delay)
+                if due_at is not None
             ),
             self._next_sweep,
         )
--- a/aspensaddle/conformance/net.py
+++ b/aspensaddle/conformance/net.py
@@ -18,7 +18,7 @@
 from aspensaddle.conformance.link import Link
 
 Address = tuple[str, int]
-HOP_DELAY_SECONDS = 0.0002  # from one endpoint to another in a network without sockets
+HOP_DELAY_SECONDS = 0.0002  # delay between two endpoints of a network without sockets
 
 
 class Endpoint(Protocol):
@@ -93,10 +93,10 @@
         while self._scheduled_calls and self._scheduled_calls[0][0] <= now:
             heappop(self._scheduled_calls)[2]()
         for endpoint in list(self.endpoints):
-            at = endpoint.next_timer()
-            if at is not None and at <= now:
+            due_at = endpoint.next_timer()
+            if due_at is not None and due_at <= now:
                 endpoint.run_timers()
-        next_times = [at for endpoint in self.endpoints if (at := endpoint.next_timer()) is not None]
+        next_times = [due_at for endpoint in self.endpoints if (due_at := endpoint.next_timer()) is not None]
         if self._scheduled_calls:
             next_times.append(self._scheduled_calls[0][0])
         self._wait_until(max(now, min([now + max_seconds, *next_times])))
@@ -207,7 +207,7 @@
     def remove(self, endpoint: Endpoint) -> None:
         """Remove an endpoint and its addresses."""
         super().remove(endpoint)
-        self._by_address = {a: e for a, e in self._by_address.items() if e is not endpoint}
+        self._by_address = {address: other for address, other in self._by_address.items() if other is not endpoint}
 
     def _transmit(self, source: Endpoint, data: bytes, destination: Address) -> None:
         self.transmit(data, source.address, destination)
--- a/aspensaddle/conformance/packet_builder.py
+++ b/aspensaddle/conformance/packet_builder.py
@@ -16,7 +16,7 @@
 CLIENT_CONNECTION_ID = b"client"  # the source connection ID of packets built here
 LENGTH_BYTES = 2  # size of the length field in the Initials built here
 PACKET_NUMBER_BYTES = 2
-TAG_BYTES = 16  # of the AEAD
+TAG_BYTES = 16  # size of the AEAD authentication tag
 INITIAL_DATAGRAM_BYTES = 1200  # minimum size of a datagram with a client's Initial (RFC 9000, 14.1)
 
 
@@ -37,7 +37,7 @@
         scid: the client's connection ID, which the transport parameters repeat.
     """
     if size:
-        alpn = (*alpn, *(f"pad-{i}".ljust(200, "x") for i in range(size // 200)))
+        alpn = (*alpn, *(f"pad-{number}".ljust(200, "x") for number in range(size // 200)))
     client = QuicConnection(
         configuration=QuicConfiguration(
             is_client=True, server_name=server_name, alpn_protocols=list(alpn), quantum_readiness_test=large
@@ -110,7 +110,7 @@
 
 
 def zero_rtt_packet(dcid: bytes, scid: bytes = CLIENT_CONNECTION_ID, version: int = 1, size: int = 300) -> bytes:
-    """Return a 0-RTT packet whose protected part is random, which only its server could detect."""
+    """Return a 0-RTT packet whose protected part is random, which only its server can detect."""
     first = encode_long_header_first_byte(version, QuicPacketType.ZERO_RTT, 1)
     body = os.urandom(size)
     return long_header_packet(version, dcid, scid, (len(body) | 0x4000).to_bytes(2, "big") + body, first)
--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -18,7 +18,7 @@
 
 REPOSITORY = Path(__file__).resolve().parents[2]
 READY_TIMEOUT_SECONDS = 20.0
-MAX_START_ATTEMPTS = 5  # each with other ports
+MAX_START_ATTEMPTS = 5  # limit of attempts to start the program; each uses other ports
 
 
 class PortInUseError(Exception):
--- a/aspensaddle/conformance/quic_client.py
+++ b/aspensaddle/conformance/quic_client.py
@@ -17,8 +17,8 @@
 ALPN = ("lines",)
 DEFAULT_CID_BYTES = 8
 IDLE_TIMEOUT_SECONDS = 60.0
-MAX_KEPT_SENT = 8  # a client stores this many of the first datagrams that it sends
-MAX_KEPT_RECEIVED = 64  # a client stores this many of the first datagrams that it receives
+MAX_KEPT_SENT = 8  # number of the first sent datagrams that a client stores
+MAX_KEPT_RECEIVED = 64  # number of the first received datagrams that a client stores
 
 
 class ClientConnection(QuicConnection):
@@ -39,9 +39,9 @@
     original_version: int = 0  # version of the first Initial; 0: the first of `versions`
     cid_length: int = DEFAULT_CID_BYTES
     token: bytes = b""  # a token from an earlier connection
-    large: bool = False  # the ClientHello needs several datagrams
+    large: bool = False  # whether the ClientHello needs several datagrams
     ticket: SessionTicket | None = None
-    early_data: bytes = b""  # sent before the handshake is complete
+    early_data: bytes = b""  # data that is sent in 0-RTT, before the handshake is complete
     hold_datagrams: bool = False  # store datagrams in `QuicClient.held_datagrams` instead of sending them
     link_in: Link | None = None
     link_out: Link | None = None
@@ -78,8 +78,8 @@
         self.terminations: list[events.ConnectionTerminated] = []
         self.handshake_complete = self.was_reset = False
         self.received_bytes = self.sent_bytes = self.received_count = 0
-        self.received_datagrams: list[bytes] = []  # the first ones
-        self.sent_datagrams: list[bytes] = []  # the first ones
+        self.received_datagrams: list[bytes] = []  # the first MAX_KEPT_RECEIVED datagrams
+        self.sent_datagrams: list[bytes] = []  # the first MAX_KEPT_SENT datagrams
         self.hold_datagrams, self.held_datagrams = options.hold_datagrams, list[bytes]()
         self.tickets: list[SessionTicket] = []
         self.reset_tokens: set[bytes] = set()  # stateless reset tokens of the server's connection IDs
--- a/aspensaddle/conformance/quic_server.py
+++ b/aspensaddle/conformance/quic_server.py
@@ -29,7 +29,7 @@
 from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenVerdict
 
 RESET_KEY = bytes(range(32))
-MAX_ISSUED_CIDS = 8  # per connection, if the client accepts as many
+MAX_ISSUED_CIDS = 8  # limit of the connection IDs issued in one connection, if the client accepts as many
 MIN_INITIAL_DATAGRAM_BYTES = 1200
 AMPLIFIED_COPIES = 5  # how often an amplifying server sends each full datagram
 MAX_RECENT_DATAGRAMS = 1000
@@ -71,7 +71,7 @@
     RETRY = "retry"  # sends a Retry first
     REFUSE = "refuse"  # closes with CONNECTION_REFUSED
     FAIL = "fail"  # closes with INTERNAL_ERROR
-    SILENT = "silent"
+    SILENT = "silent"  # sends nothing
     AMPLIFYING = "generous"  # sends more than three times the bytes that it received
 
 
@@ -85,7 +85,7 @@
     requests: list[bytes] = field(default_factory=list)  # the data of clients' streams
     early_requests: int = 0  # how many of the requests came in 0-RTT
     source_addresses: set[Address] = field(default_factory=set)
-    first_seen_at: dict[bytes, float] = field(default_factory=dict)  # by the connection ID that the client chose
+    first_seen_at: dict[bytes, float] = field(default_factory=dict)  # time of the first Initial, by its DCID
     recent_datagrams: deque[bytes] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_DATAGRAMS))
     token_verdicts: list[TokenVerdict] = field(default_factory=list)
 
@@ -231,13 +231,16 @@
 
     def next_timer(self) -> float | None:
         """Return the time of the next timer, or None if there is none."""
-        return min((at for c in self._connections if (at := c.get_timer()) is not None), default=None)
+        return min(
+            (due_at for connection in self._connections if (due_at := connection.get_timer()) is not None),
+            default=None,
+        )
 
     def run_timers(self) -> None:
         """Run the timers that are due."""
         for connection in list(self._connections):
-            at = connection.get_timer()
-            if at is not None and at <= self.net.now():
+            due_at = connection.get_timer()
+            if due_at is not None and due_at <= self.net.now():
                 connection.handle_timer(self.net.now())
                 self._process_events(connection)
 
--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -41,7 +41,7 @@
     requirement: str
     setup: TestbedSetup
     run: Callable[[Testbed], None]
-    slow: bool  # skipped by --quick
+    slow: bool  # whether --quick skips the case
 
     @property
     def name(self) -> str:
@@ -103,61 +103,73 @@
         cases: the cases.
         memory: run the engine without sockets, in simulated time.
         seed: the seed of links and balancers.
-        jobs: how many testbeds run at a time, each in a process.
+        jobs: how many testbeds run at a time, each in a process of its own.
         on_result: receives each result as soon as it is known.
     """
     groups: dict[object, list[int]] = {}
-    for c in cases:
-        groups.setdefault(c.number if c.setup.exclusive else c.setup, []).append(c.number)
+    for member in cases:
+        groups.setdefault(member.number if member.setup.exclusive else member.setup, []).append(member.number)
     results = []
     with ProcessPoolExecutor(jobs) as pool:
         for future in as_completed([pool.submit(_run_group, numbers, memory, seed) for numbers in groups.values()]):
             for result in future.result():
                 on_result(result)
                 results.append(result)
-    return sorted(results, key=lambda r: r.number)
+    return sorted(results, key=lambda finished: finished.number)
 
 
 def _run_group(numbers: list[int], memory: bool, seed: int) -> list[Result]:
     """Run the cases with these numbers, which share a setup. Cases themselves cannot be passed between processes."""
-    cases = [c for c in load_cases() if c.number in numbers]
+    cases = [selected for selected in load_cases() if selected.number in numbers]
     return list(_run_on_testbed(cases[0].setup, cases, memory, seed))
 
 
 def _run_on_testbed(setup: TestbedSetup, cases: list[Case], memory: bool, seed: int) -> Iterable[Result]:
     with TemporaryDirectory() as folder:
         testbed: Testbed | None = None
-        for index, c in enumerate(cases):
+        for index, current in enumerate(cases):
             start = time.monotonic()
             verdict, why = PASSED, ""
             try:
                 if testbed is None:
                     testbed = Testbed(setup, Path(folder) / str(index), memory, seed)
                 testbed.begin_case()
-                c.run(testbed)
+                current.run(testbed)
                 if internal_errors := testbed.counter_increase("internal_errors"):
                     raise RequirementNotMetError(f"{internal_errors} internal errors in the front end")
-            except NotApplicableError as e:
-                verdict, why = NOT_APPLICABLE, str(e)
-            except RequirementNotMetError as e:
-                verdict, why = FAILED, str(e)
-            except Exception as e:
-                verdict, why = FAILED, f"{e!r} at {traceback.extract_tb(e.__traceback__)[-1]}"
+            except NotApplicableError as error:
+                verdict, why = NOT_APPLICABLE, str(error)
+            except RequirementNotMetError as error:
+                verdict, why = FAILED, str(error)
+            except Exception as error:
+                verdict, why = FAILED, f"{error!r} at {traceback.extract_tb(error.__traceback__)[-1]}"
             finally:
                 if testbed is not None:
                     testbed.finish_case()
             if verdict is FAILED and testbed is not None:
                 testbed.close()  # a new testbed, so that the next cases do not fail because of this one
                 testbed = None
-            yield Result(c.number, c.section, c.requirement, c.name, verdict, why, round(time.monotonic() - start, 2))
+            yield Result(
+                current.number,
+                current.section,
+                current.requirement,
+                current.name,
+                verdict,
+                why,
+                round(time.monotonic() - start, 2),
+            )
         if testbed is not None:
             testbed.close()
 
 
 def format_table(results: list[Result]) -> str:
     """Return the results as text: one line per case, then the number of cases by verdict."""
-    lines = [f"{r.number:4}  {r.section:18} {r.verdict:15} {r.says}{f' ({r.why})' if r.why else ''}" for r in results]
-    counts = {v: sum(r.verdict == v for r in results) for v in (PASSED, FAILED, NOT_APPLICABLE)}
+    lines = [
+        f"{result.number:4}  {result.section:18} {result.verdict:15} {result.says}"
+        f"{f' ({result.why})' if result.why else ''}"
+        for result in results
+    ]
+    counts = {known: sum(result.verdict == known for result in results) for known in (PASSED, FAILED, NOT_APPLICABLE)}
     lines.append(", ".join(f"{count} {verdict}" for verdict, count in counts.items()))
     return "\n".join(lines)
 
--- a/aspensaddle/conformance/testbed.py
+++ b/aspensaddle/conformance/testbed.py
@@ -19,7 +19,7 @@
 from aspensaddle.frontends.quic.connection_ids import IdFormat
 from aspensaddle.frontends.quic.retry_tokens import RetryTokens, TokenKey
 
-ID_KEY = b"sixteen octets!!"  # encrypts connection IDs
+ID_KEY = b"sixteen octets!!"  # key that encrypts connection IDs
 DEFAULT_FORMAT = IdFormat(2, 2, 14, key=ID_KEY)
 TOKEN_SECRET = b"the shared key!!"
 TOKEN_FILE = f'[[keys]]\nsequence = 5\nkey = "{TOKEN_SECRET.hex()}"\n'
@@ -39,7 +39,7 @@
 class TestbedSetup:
     """How a testbed is set up. Cases with equal setups share a testbed. Times are in seconds."""
 
-    __test__ = False  # no test class of pytest
+    __test__ = False  # pytest must not collect it as a test class
 
     modes: tuple[ServerMode, ...] = (ServerMode.OK, ServerMode.OK, ServerMode.OK)
     id_formats: tuple[IdFormat, ...] = (DEFAULT_FORMAT,)  # servers issue connection IDs in the first format
@@ -47,7 +47,7 @@
     rules: str = ""  # the `[[rules]]` of quic.toml
     extra_settings: str = ""  # more top-level settings of quic.toml
     deadline: float = 3.0
-    reply_timeout: float = 1.0  # how long a server may take for its first reply
+    reply_timeout: float = 1.0  # time limit for a server's first reply
     idle_timeout: float = 30.0  # a session without a datagram for this long ends
     frontends: int = 1
     exclusive: bool = False  # the case changes the testbed permanently and gets one of its own
@@ -80,7 +80,7 @@
 class Testbed:
     """Front ends, servers and the network between them, and the operations and checks of the cases."""
 
-    __test__ = False  # no test class of pytest
+    __test__ = False  # pytest must not collect it as a test class
 
     def __init__(self, setup: TestbedSetup, folder: Path, memory: bool = False, seed: int = 0) -> None:
         """Start the servers and front ends.
@@ -96,13 +96,13 @@
         self.tokens = RetryTokens([TokenKey(5, TOKEN_SECRET)], TOKEN_LIFETIME_SECONDS)
         tickets: dict[bytes, Any] = {}
         self.servers: list[QuicServer] = []
-        for i, mode in enumerate(setup.modes):
+        for index, mode in enumerate(setup.modes):
             tokens = self.tokens if setup.retry_above_per_second is not None else None
-            server = QuicServer(self.net, f"s-{i}", setup.id_formats[0], mode, tickets, self.unix_time, tokens)
+            server = QuicServer(self.net, f"s-{index}", setup.id_formats[0], mode, tickets, self.unix_time, tokens)
             server.server_id = server_id(setup.id_formats[0], server)
             self.servers.append(server)
         self.frontends: list[Frontend] = [
-            self._start_frontend(folder / f"n{i}", f"n{i}") for i in range(setup.frontends)
+            self._start_frontend(folder / f"n{index}", f"n{index}") for index in range(setup.frontends)
         ]
         self._endpoints: list[QuicClient | RawEndpoint] = []
         self._initial_counts: dict[str, int] = {}
@@ -183,7 +183,7 @@
     def connected_clients(self, count: int = 1, **options: Any) -> list[QuicClient]:
         """Create clients and wait until their handshakes are complete; `options` as for `client`."""
         clients = [self.client(**options) for _ in range(count)]
-        self.wait(lambda: all(c.handshake_complete for c in clients), "complete handshakes")
+        self.wait(lambda: all(client.handshake_complete for client in clients), "complete handshakes")
         return clients
 
     def request(self, client: QuicClient, text: bytes = b"hello") -> str:
@@ -191,9 +191,14 @@
         previous = len(client.responses)
         client.send_request(text)
         self.wait(
-            lambda: [r for r in client.responses[previous:] if r.endswith(b" " + text)], f"the response to {text!r}"
+            lambda: [response for response in client.responses[previous:] if response.endswith(b" " + text)],
+            f"the response to {text!r}",
+        )
+        return (
+            next(response for response in client.responses[previous:] if response.endswith(b" " + text))
+            .split(b" ", 1)[0]
+            .decode()
         )
-        return next(r for r in client.responses[previous:] if r.endswith(b" " + text)).split(b" ", 1)[0].decode()
 
     def server(self, uid: str) -> QuicServer:
         """Return the server with this uid."""
