--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -15,8 +15,8 @@
 from aspensaddle.frontends.line_protocol.frontend import LineProtocolFrontend
 from aspensaddle.support.sockets import Listener
 
-# PROTOCOL, "Figures": the process is not killed before the longest deadline, or this limit if the deadline is longer,
-# plus a margin.
+# The platform kills the process no earlier than the longest deadline, or this limit if the deadline is longer, plus a
+# margin (operators' page PROTOCOL, "Figures").
 MAX_DEADLINE_SECONDS = 3.0
 KILL_MARGIN_SECONDS = 0.7
 NEW_CONNECTIONS_SECONDS = 0.4  # new connections keep arriving for this long after SIGTERM
--- a/aspensaddle/discovery/endpoint_update.py
+++ b/aspensaddle/discovery/endpoint_update.py
@@ -22,7 +22,7 @@
 )
 
 WIRE_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
-MAX_WEIGHT = 1e9  # exclusive
+MAX_WEIGHT = 1e9  # exclusive upper limit
 
 
 @dataclass(slots=True)
--- a/aspensaddle/discovery/json_stream.py
+++ b/aspensaddle/discovery/json_stream.py
@@ -1,4 +1,4 @@
-"""Decodes a discovery response from bytes into complete JSON values, without I/O and clock."""
+"""Decodes a discovery response from bytes into complete JSON values, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._partial_line = bytearray()
-        self._lines: list[bytes] = []  # of the value that is not complete yet
+        self._lines: list[bytes] = []  # lines of the value that is not complete yet
         self._size = 0
         self._depth = 0
 
--- a/aspensaddle/discovery/watch_policy.py
+++ b/aspensaddle/discovery/watch_policy.py
@@ -7,19 +7,19 @@
 
 from random import Random
 
-HEARTBEAT_SECONDS = 2.0  # PROTOCOL: the service sends an empty line this often
-MAX_STALENESS_SECONDS = 6.0  # a change counts as known this long after a reachable service has received it
+HEARTBEAT_SECONDS = 2.0  # interval of the service's heartbeats, empty lines (operators' page PROTOCOL)
+MAX_STALENESS_SECONDS = 6.0  # time after which a change that a reachable service has received counts as known
 
 SILENCE_TIMEOUT_SECONDS = HEARTBEAT_SECONDS + 0.5  # longest time without a complete line
 CONNECT_TIMEOUT_SECONDS = 0.5
 HEDGE_DELAY_SECONDS = 1.5  # a call without a complete line after this time is hedged: a second one is started
-MAX_HEDGING_BALANCERS = 6  # at 0.25 s for a call, a service serves 6 within the hedge delay
-RESPONSE_TIMEOUT_SECONDS = 3.5  # the service may queue a call
+MAX_HEDGING_BALANCERS = 6  # at 0.25 s for a call, a service completes 6 calls within the hedge delay
+RESPONSE_TIMEOUT_SECONDS = 3.5  # longest time until the first complete line, since the service may queue a call
 QUEUED_RESPONSE_SECONDS = 1.0  # longest time in the service's queue, unless the call hangs or the queue is too long
 START_JITTER_SECONDS = 2.0  # spread of the first calls where all balancers call one service
 INITIAL_BACKOFF_SECONDS = 0.5
 MAX_BACKOFF_SECONDS = 2.0
-MAX_FLEET_RETRIES_PER_SECOND = 40.0  # of all balancers together, while the service rejects calls
+MAX_FLEET_RETRIES_PER_SECOND = 40.0  # limit of all balancers' retries together, while the service rejects calls
 
 # Backoff stays short for this long after a change of the service's address. After this time, changes that the new
 # service holds count as known.
--- a/aspensaddle/discovery/watcher.py
+++ b/aspensaddle/discovery/watcher.py
@@ -75,7 +75,7 @@
         self._counters = counters
         self._log = log
         self._random = Random(seed)
-        self._calls: list[WatchCall] = []  # in flight, the oldest first
+        self._calls: list[WatchCall] = []  # calls in flight, the oldest first
         self._address_changed = trio.Event()
         self._address_changed_at = float("-inf")
         self._updates_applied = 0
--- a/aspensaddle/simulator_adapter/wire.py
+++ b/aspensaddle/simulator_adapter/wire.py
@@ -51,7 +51,7 @@
     text,
 )
 
-EndpointLists: TypeAlias = dict[int, tuple[Endpoint, ...]]  # by their number on the wire, `set-id`
+EndpointLists: TypeAlias = dict[int, tuple[Endpoint, ...]]  # keys are the lists' numbers on the wire (`set-id`)
 
 OUTCOME_BY_STATE_CODE = {
     "success": Outcome.OK,
@@ -217,14 +217,19 @@
 # ---------------------------------------------------------------- actions
 
 ACTION_ENCODERS: dict[type, Callable[[Any], Message]] = {
-    StartAttempt: lambda a: {"kind": "TRANSMIT", "ref": a.request_id, "server": a.server, "try-for": a.timeout},
-    Reject: lambda a: {"kind": "REFUSE", "ref": a.request_id, "not-before-for": a.retry_after},
-    Fail: lambda a: {"kind": "SURRENDER", "ref": a.request_id},
-    CancelAttempt: lambda a: {"kind": "CANCEL", "ref": a.request_id, "n": a.attempt},
-    Migrate: lambda a: {"kind": "MIGRATE", "ref": a.request_id},
-    CheckHealth: lambda a: {"kind": "INSPECT", "server": a.server},
-    WatchEndpoints: lambda a: {"kind": "TAIL", "active": True},
-    SetTimer: lambda a: {"kind": "SET_ALARM", "label": a.timer, "offset": a.delay},
+    StartAttempt: lambda action: {
+        "kind": "TRANSMIT",
+        "ref": action.request_id,
+        "server": action.server,
+        "try-for": action.timeout,
+    },
+    Reject: lambda action: {"kind": "REFUSE", "ref": action.request_id, "not-before-for": action.retry_after},
+    Fail: lambda action: {"kind": "SURRENDER", "ref": action.request_id},
+    CancelAttempt: lambda action: {"kind": "CANCEL", "ref": action.request_id, "n": action.attempt},
+    Migrate: lambda action: {"kind": "MIGRATE", "ref": action.request_id},
+    CheckHealth: lambda action: {"kind": "INSPECT", "server": action.server},
+    WatchEndpoints: lambda action: {"kind": "TAIL", "active": True},
+    SetTimer: lambda action: {"kind": "SET_ALARM", "label": action.timer, "offset": action.delay},
 }
 
 
--- a/aspensaddle/store/messages.py
+++ b/aspensaddle/store/messages.py
@@ -17,7 +17,7 @@
 MAX_DATAGRAM_BYTES = 8192
 TAG_BYTES = 32
 MAX_ENVELOPE_BYTES = 200  # upper bound of a datagram's size without its entries
-MAX_CLOCK_DIFFERENCE_MS = 60_000  # between the clocks of two nodes; bounds how long a datagram can be replayed
+MAX_CLOCK_DIFFERENCE_MS = 60_000  # limit between two nodes' clocks; bounds how long a datagram can be replayed
 
 
 @dataclass(slots=True)
@@ -170,7 +170,7 @@
     """Yield the entries, in order, in as few batches as possible that each fit into a datagram."""
     batch, free_bytes = EntryBatch(), MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES
     for entry in entries:
-        size = len(orjson.dumps(_encode_entry(entry))) + 1  # and the comma after it
+        size = len(orjson.dumps(_encode_entry(entry))) + 1  # the entry and the comma after it
         if size > free_bytes and batch.entries:
             yield batch
             batch, free_bytes = EntryBatch(), MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -27,7 +27,7 @@
 from aspensaddle.support.json_fields import DecodeError
 
 MAX_BUCKETS_PER_ROUND = 32  # buckets compared after one exchange of digests; later rounds compare the others
-MAX_DATAGRAMS_PER_READ = 64  # read before other tasks run
+MAX_DATAGRAMS_PER_READ = 64  # limit of datagrams read before other tasks run
 GOSSIP_JITTER_RANGE = 0.5, 1.5  # factors of the gossip interval; daemons started together do not gossip in step
 
 
--- a/aspensaddle/store/state.py
+++ b/aspensaddle/store/state.py
@@ -14,8 +14,9 @@
 import orjson
 
 MAX_KEYS = 4096  # 1,024 servers, as many balancers, and removed keys, which count as well
-MAX_VALUE_BYTES = 4096  # encoded as JSON
-MAX_VERSION_LEAD_MS = 300_000  # ahead of the local clock; a version far in the future would override all later writes
+MAX_VALUE_BYTES = 4096  # size limit of a value encoded as JSON
+# Limit of how far a version may be ahead of the local clock. One far in the future would override all later writes.
+MAX_VERSION_LEAD_MS = 300_000
 BUCKET_COUNT = 256  # the values of one byte of a hash; 16 keys per bucket on average if the store is full
 MAX_KEYS_IN_BUCKET = 50  # small enough for the bucket's version summary to fit into a datagram
 DIGEST_BYTES = 8
--- a/aspensaddle/support/log.py
+++ b/aspensaddle/support/log.py
@@ -17,7 +17,7 @@
 
 MAX_QUEUED_LINES = 2000
 FLUSH_TIMEOUT_SECONDS = 0.5  # longest wait for the queue at exit
-RATE_LIMIT_INTERVAL_SECONDS = 1.0  # between two events of one kind that peers can cause at any rate
+RATE_LIMIT_INTERVAL_SECONDS = 1.0  # minimum time between two events of one kind that peers can cause at any rate
 
 
 class Log:
