--- a/aspensaddle/conformance/net.py
+++ b/aspensaddle/conformance/net.py
@@ -184,7 +184,7 @@
     def __init__(self) -> None:
         """Create a network without endpoints."""
         super().__init__()
-        self._now = 1.8e9  # also the Unix time; later than every `retire_at` of the cases
+        self._now = 1.8e9  # starts at this Unix time, later than every `retire_at` of the cases
         self._ports = count(10000)
         self._by_address: dict[Address, Endpoint] = {}
 
--- a/aspensaddle/conformance/process_frontend.py
+++ b/aspensaddle/conformance/process_frontend.py
@@ -124,7 +124,7 @@
         return process
 
     def _wait(self, condition: Callable[[], Any]) -> Any:
-        """Wait for output of the process while the network goes on; return the value of `condition`."""
+        """Wait for output of the process while the network runs; return the value of `condition`."""
         if self._run_until is not None:
             self._run_until(condition, READY_TIMEOUT_SECONDS)
         stop_at = time.monotonic() + READY_TIMEOUT_SECONDS
--- a/aspensaddle/daemon/graceful_shutdown.py
+++ b/aspensaddle/daemon/graceful_shutdown.py
@@ -24,7 +24,7 @@
 SLACK_SECONDS = 0.05  # margin after the last new connection, and for the process to exit before it is killed
 LINGER_SECONDS = 0.25  # time for clients to read their last response
 MIGRATION_SPREAD_SECONDS = 0.6  # migrated clients reconnect at once, so their migration is spread over this time
-POLL_INTERVAL_SECONDS = 0.02  # between two checks of what is left to do
+POLL_INTERVAL_SECONDS = 0.02  # pause between two checks of what is left to do
 
 
 @dataclass(frozen=True, slots=True)
--- a/aspensaddle/daemon/process.py
+++ b/aspensaddle/daemon/process.py
@@ -1,4 +1,4 @@
-"""Runs one process until it shuts down: the daemon and, if an operator's file enables it, a replica of the store."""
+"""Runs one process until it shuts down: the balancer and, if an operator's file enables it, a store replica."""
 
 from __future__ import annotations
 
--- a/aspensaddle/frontends/line_protocol/relay.py
+++ b/aspensaddle/frontends/line_protocol/relay.py
@@ -21,7 +21,7 @@
 SERVER_END_TIMEOUT_SECONDS = 5.0  # time limit for a server to end its sending after the client has
 CLIENT_SEND_TIMEOUT_SECONDS = 0.9  # time limit for sending lines to a client; the protocol allows 1 s for a line
 MAX_AWAITED_ECHOES = 64  # limit of the client lines whose echo is awaited; the oldest are dropped
-SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # except for LOAD, any other line of a server echoes one of the client
+SERVER_WORDS = (b"UP", b"BYE", b"MOVE")  # with LOAD, first words of lines that echo no line of the client
 
 
 class Relay:
--- a/aspensaddle/frontends/line_protocol/request_lifecycle.py
+++ b/aspensaddle/frontends/line_protocol/request_lifecycle.py
@@ -99,7 +99,7 @@
         result = await self._attempt_at_server(placement, start)
         if isinstance(result, AttemptEstablished):
             placement.established = result
-        elif placement.state.final is None:  # otherwise a final decision came during the attempt
+        elif placement.state.final is None:  # no final decision came during the attempt
             served = result.outcome is Outcome.OK  # the server answered at once, without an open connection
             self._frontend.driver.attempt_ended(start.request_id, result.outcome, finished=served)
             if served:
--- a/aspensaddle/frontends/line_protocol/request_state.py
+++ b/aspensaddle/frontends/line_protocol/request_state.py
@@ -12,7 +12,7 @@
 from aspensaddle.frontends.line_protocol.link import MAX_LINE_BYTES, Link
 from aspensaddle.frontends.line_protocol.relay import Relay
 
-COMMANDS = (b"OPEN", b"PING", b"STATS")  # after each, a client has to wait for the response
+COMMANDS = (b"OPEN", b"PING", b"STATS")  # commands after which a client has to wait for the response
 
 
 class RequestState:
--- a/aspensaddle/frontends/line_protocol/server_connector.py
+++ b/aspensaddle/frontends/line_protocol/server_connector.py
@@ -133,7 +133,7 @@
         except OSError as error:
             if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS:
                 self.counters.add("connects_failed_no_descriptors")
-                return Outcome.NOT_SENT  # not the server's failure
+                return Outcome.NOT_SENT  # this process is short of descriptors; the server has not failed
             return Outcome.UNREACHABLE
         return Outcome.UNREACHABLE
 
--- a/aspensaddle/frontends/quic/client_hello.py
+++ b/aspensaddle/frontends/quic/client_hello.py
@@ -12,7 +12,7 @@
 from aioquic.buffer import Buffer, BufferReadError
 from aioquic.tls import Alert, pull_client_hello
 
-MAX_CLIENT_HELLO_BYTES = 16384  # with post-quantum key shares a ClientHello has 1.5 to 4 KB
+MAX_CLIENT_HELLO_BYTES = 16384  # a ClientHello with post-quantum key shares has 1.5 to 4 KB
 MAX_PIECES = 64  # limit of the stored pieces that have gaps between them
 HANDSHAKE_HEADER_BYTES = 4  # type and length of a handshake message
 CLIENT_HELLO_TYPE = 1
--- a/aspensaddle/frontends/quic/connection_ids.py
+++ b/aspensaddle/frontends/quic/connection_ids.py
@@ -125,7 +125,7 @@
         right = number & (1 << 8 * half) - 1
         if odd:
             left &= ~0x0F  # the upper four bits of the middle byte belong to the left half
-            right &= (1 << 8 * half - 4) - 1  # and the lower four to the right half
+            right &= (1 << 8 * half - 4) - 1  # the lower four bits belong to the right half
         for pass_number in order:
             source = left if pass_number % 2 else right
             block = source.to_bytes(half, "big").ljust(AES_BLOCK_BYTES - 2, b"\0") + bytes([length, pass_number])
--- a/aspensaddle/frontends/quic/engine.py
+++ b/aspensaddle/frontends/quic/engine.py
@@ -88,7 +88,7 @@
         )
 
     def configure(self, settings: QuicSettings) -> None:
-        """Use other settings from now on. Sessions go on; connection IDs that are not readable now are forgotten."""
+        """Use other settings from now on. Sessions continue; connection IDs that are unreadable now are forgotten."""
         context = self.context
         context.directory = ConnectionIdDirectory(
             settings.ids, settings.unroutable_length, previous=context.directory
--- a/aspensaddle/frontends/quic/path_table.py
+++ b/aspensaddle/frontends/quic/path_table.py
@@ -63,7 +63,7 @@
     def _take_slot(self, server_address: ServerAddress) -> int | None:
         slot = self._slots.acquire(server_address, self.context.now)
         if slot is None and (evicted := self._find_most_idle(server_address)) is not None:
-            # File descriptors are short. The evicted session goes on: its next datagram opens a new path. The slot
+            # File descriptors are short. The evicted session continues: its next datagram opens a new path. The slot
             # needs no quarantine, because the server has nothing left to send on an idle path.
             self.context.counters.add("quic paths evicted")
             slot = evicted.slot
--- a/aspensaddle/frontends/quic/retry_tokens.py
+++ b/aspensaddle/frontends/quic/retry_tokens.py
@@ -11,8 +11,8 @@
                  connection ID that the client chose, the one that the Retry gave, Unix time in milliseconds; then
                  the tag
 
-Servers may issue NEW_TOKEN tokens of their own. They are told apart by authentication alone: a token that no key here
-decrypts is treated as if the client had sent none (RFC 9000, 8.1.3).
+Servers may issue NEW_TOKEN tokens of their own. They are distinguished by authentication alone: a token that no key
+here decrypts is treated as if the client had sent none (RFC 9000, 8.1.3).
 """
 
 from __future__ import annotations
--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -68,10 +68,10 @@
 
     session: Session
     client_address: ClientAddress
-    server: int  # its number in the endpoint registry
+    server: int  # the server's number in the endpoint registry
     server_address: ServerAddress
     slot: int  # the local socket that represents the client at the server
-    last_used_at: float  # when a datagram last passed in either direction, in seconds of the context's clock
+    last_used_at: float  # time of the latest datagram in either direction, in seconds of the context's clock
     dcid: bytes = b""  # the latest routable connection ID that the client used on it
     last_datagram_bytes: int = 0  # size of the client's latest datagram
     # None when the client's address is validated
@@ -101,7 +101,7 @@
     stage: SetupStage = SetupStage.CLIENT_HELLO_INCOMPLETE
     class_index: int = 0
     path: Path | None = None  # the path of the attempt in progress
-    bound_to_server: bool = False  # a server sent a Retry or Version Negotiation, so no other can continue
+    bound_to_server: bool = False  # whether a server sent a Retry or Version Negotiation, so no other can continue
     early_replies: list[bytes] = field(default_factory=list)  # server datagrams held until one is authenticated
     attempts: int = 0
     timer_id: int = 0  # the timer in force; others that were started before it are ignored
@@ -113,18 +113,18 @@
 
     id: str
     pending_actions: list[tuple[Session, RequestAction]]  # shared by all sessions, in the order of the decisions
-    server: int = -1  # its number in the endpoint registry, set when the session is established
+    server: int = -1  # the server's number in the endpoint registry, set when the session is established
     setup: SetupState | None = None
     path: Path | None = None  # the path that the client used last
     other_paths: list[Path] | None = None  # earlier paths, oldest first
     cids: tuple[bytes, ...] = ()  # the latest connection IDs that the server issued, oldest first
     last_active_at: float = 0.0
-    first_unanswered_at: float = 0.0  # when the client sent its first datagram since the server's latest
+    first_unanswered_at: float = 0.0  # time of the client's first datagram after the server's latest
     unanswered_datagrams: int = 0
     bytes_from_server: int = 0  # counted until an adopted session is confirmed
     server_has_replied: bool = False  # since this process established or adopted the session
     migrating: bool = False
-    routed_by_address: bool = False  # its connection IDs are not routable, so the client's address identifies it
+    routed_by_address: bool = False  # whether only the client's address identifies it: its CIDs are not routable
     ended: bool = False
 
     def handle_action(self, action: RequestAction) -> None:
@@ -132,7 +132,7 @@
         self.pending_actions.append((self, action))
 
     def client_is_connected(self) -> bool:
-        """Return True: with datagrams, a client that left cannot be told from a silent one."""
+        """Return True: with datagrams, a client that left cannot be distinguished from a silent one."""
         return True
 
     def all_paths(self) -> list[Path]:
--- a/aspensaddle/frontends/quic/session_setup.py
+++ b/aspensaddle/frontends/quic/session_setup.py
@@ -59,7 +59,7 @@
     ) -> Session | None:
         """Start a session with a client's first Initial, whose first packet holds `first_frames`.
 
-        `original_dcid` is the connection ID that the client chose first; `validated` tells whether a token has
+        `original_dcid` is the connection ID that the client chose first; `validated` states whether a token has
         validated its address. Returns None if the client was rejected for lack of capacity.
         """
         packet = packets[0]
@@ -349,7 +349,7 @@
             self.sessions.remove(session)
 
     def _finish(self, session: Session, setup: SetupState, placed: bool) -> None:
-        """End the setup and log it. `placed` tells whether the session is established; else it is removed."""
+        """End the setup and log it. `placed` states whether the session is established; else it is removed."""
         self.pending_count -= 1
         setup.timer_id = 0
         self.context.log.event(
--- a/aspensaddle/frontends/quic/session_table.py
+++ b/aspensaddle/frontends/quic/session_table.py
@@ -188,7 +188,7 @@
     def migrate(self, session: Session) -> None:
         """Make the client reconnect elsewhere, as the balancer decided.
 
-        That takes a stateless reset, which waits until a connection ID of the client is known.
+        The client is sent a stateless reset, as soon as a connection ID that it uses is known.
         """
         session.migrating = True
         if session.path is not None and session.path.dcid:
--- a/aspensaddle/importer/reader.py
+++ b/aspensaddle/importer/reader.py
@@ -14,7 +14,7 @@
 TRANSPARENT_BLOCKS = ("http", "server")  # the directives inside are read as if they were outside
 RETRY_CONDITIONS = {"error", "timeout", "non_idempotent"}  # conditions under which the balancer retries as well
 REQUIRED_RETRY_CONDITIONS = {"error", "timeout"}
-DEFAULT_SERVER_PORT = 80  # as in nginx
+DEFAULT_SERVER_PORT = 80  # nginx has the same default
 SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 NUMERIC_HOST = re.compile(r"[0-9.]+|\[?[0-9a-fA-F:]+\]?")
 PATH_PREFIX = re.compile(r"/[A-Za-z0-9._/-]*")
--- a/aspensaddle/store/__init__.py
+++ b/aspensaddle/store/__init__.py
@@ -1,1 +1,1 @@
-"""A small replicated key-value store that the daemons of one operator share (`docs/store.md`)."""
+"""A small replicated key-value store that the balancers of one operator share (`docs/store.md`)."""
--- a/aspensaddle/store/__main__.py
+++ b/aspensaddle/store/__main__.py
@@ -1,4 +1,4 @@
-"""Reads and writes the store of an operator's daemons.
+"""Reads and writes the store that an operator's balancers share.
 
     python -m aspensaddle.store FILE list [PREFIX]
     python -m aspensaddle.store FILE get KEY
@@ -6,7 +6,7 @@
     python -m aspensaddle.store FILE remove KEY
 
 FILE is the settings file of the store (`deploy/store.toml`). The command runs a temporary replica under a node name
-of its own and exits once its entries equal those of at least one daemon.
+of its own and exits once its entries equal those of at least one balancer.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from aspensaddle.support.counters import Counters
 
 SYNCHRONIZATION_TIMEOUT_SECONDS = 5.0
-POLL_SECONDS = 0.01
-ARGUMENT_COUNTS = {"list": (0, 1), "get": (1, 1), "put": (2, 2), "remove": (1, 1)}  # minimum and maximum
+POLL_INTERVAL_SECONDS = 0.01
+ARGUMENT_COUNTS = {"list": (0, 1), "get": (1, 1), "put": (2, 2), "remove": (1, 1)}  # minimum and maximum by command
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
@@ -74,7 +74,7 @@
 async def _wait_for_synchronization(replica: Replica) -> bool:
     with trio.move_on_after(SYNCHRONIZATION_TIMEOUT_SECONDS):
         while not replica.synchronized_peers:
-            await trio.sleep(POLL_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
     return bool(replica.synchronized_peers)
 
 
--- a/aspensaddle/store/replica.py
+++ b/aspensaddle/store/replica.py
@@ -28,7 +28,7 @@
 
 MAX_BUCKETS_PER_ROUND = 32  # buckets compared after one exchange of digests; later rounds compare the others
 MAX_DATAGRAMS_PER_READ = 64  # limit of datagrams read before other tasks run
-GOSSIP_JITTER_RANGE = 0.5, 1.5  # factors of the gossip interval; daemons started together do not gossip in step
+GOSSIP_JITTER_RANGE = 0.5, 1.5  # factors of the gossip interval; balancers started together do not gossip in step
 
 
 def unix_ms() -> int:
@@ -148,7 +148,7 @@
             self.synchronized_peers.discard(node)
         elif node not in self.synchronized_peers:
             self.synchronized_peers.add(node)
-            self._send_digests(peer)  # so that the peer notices that it is synchronized too
+            self._send_digests(peer)  # the peer then notices that it is synchronized too
         self._random.shuffle(mismatched)
         for bucket in mismatched[:MAX_BUCKETS_PER_ROUND]:
             self._send(VersionSummary(bucket, self.state.version_summary(bucket)), peer)
@@ -174,7 +174,7 @@
 
     def _send(self, body: Body, peer: Address) -> None:
         data = encode_datagram(self.settings.key, self.node, unix_ms(), body)
-        if len(data) > MAX_DATAGRAM_BYTES:  # not expected, since the size of every body is limited
+        if len(data) > MAX_DATAGRAM_BYTES:  # this is not expected, since the size of every body is limited
             self.counters.add("store_datagrams_too_large")
             return
         try:
--- a/aspensaddle/store/settings.py
+++ b/aspensaddle/store/settings.py
@@ -24,8 +24,8 @@
     """The settings of the store.
 
     Attributes:
-        key: The key that all daemons share.
-        nodes: The address of each daemon by node name, this one included.
+        key: The key that all balancers share.
+        nodes: The address of each balancer by node name, this one included.
         gossip_s: Mean seconds between two comparisons with a peer.
         endpoints_from_store: Whether the endpoint list comes from the store instead of discovery.
     """
