--- a/aspensaddle/conformance/suite.py
+++ b/aspensaddle/conformance/suite.py
@@ -176,4 +176,4 @@
 
 def as_json(results: list[Result]) -> list[dict[str, object]]:
     """Return the results as JSON values."""
-    return [asdict(r) for r in results]
+    return [asdict(result) for result in results]
--- a/aspensaddle/frontends/quic/retry_tokens.py
+++ b/aspensaddle/frontends/quic/retry_tokens.py
@@ -115,10 +115,12 @@
             retry_scid: the connection ID that the Retry gives.
             unix_time: the current Unix time in seconds.
         """
-        usable_keys = [key for key, _ in self._keys.values() if key.since <= unix_time < key.until]
+        usable_keys = [
+            candidate for candidate, _ in self._keys.values() if candidate.since <= unix_time < candidate.until
+        ]
         if not usable_keys:
             return None
-        newest_key = max(usable_keys, key=lambda key: (key.since, key.sequence))
+        newest_key = max(usable_keys, key=lambda candidate: (candidate.since, candidate.sequence))
         head = bytes([SERVICE_FLAG | newest_key.sequence]) + os.urandom(NONCE_BYTES)
         body = (
             HEADER.pack(len(original_dcid), len(retry_scid), port, _address_bytes(host))
