--- a/aspensaddle/frontends/quic/session.py
+++ b/aspensaddle/frontends/quic/session.py
@@ -124,7 +124,7 @@
     bytes_from_server: int = 0  # counted until an adopted session is confirmed
     server_has_replied: bool = False  # since this process established or adopted the session
     migrating: bool = False
-    routed_by_address: bool = False  # whether only the client's address identifies it: its CIDs are not routable
+    routed_by_address: bool = False  # whether the client's address identifies it too, as its CIDs are not routable
     ended: bool = False
 
     def handle_action(self, action: RequestAction) -> None:
