--- a/benchmarks/roll_world.py
+++ b/benchmarks/roll_world.py
@@ -1,4 +1,4 @@
-"""The former command of `python -m benchmarks.rolling_restart_simulation`, which it runs."""
+"""Runs `python -m benchmarks.rolling_restart_simulation`; kept as its former command."""
 
 import runpy
 import sys
--- a/benchmarks/rolling_restart_simulation/__main__.py
+++ b/benchmarks/rolling_restart_simulation/__main__.py
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Run one simulation; standard error tells how long it took. Return the exit code."""
+    """Run one simulation; standard error reports how long it took. Return the exit code."""
     parser = argparse.ArgumentParser(description="Simulate a rolling restart with real balancer objects.")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--balancers", type=int, default=196)
--- a/benchmarks/rolling_restart_simulation/balancer_connector.py
+++ b/benchmarks/rolling_restart_simulation/balancer_connector.py
@@ -35,17 +35,17 @@
         """Ask the client to reconnect."""
 
     def reject(self, client: Client, retry_after: float) -> None:
-        """Tell the client that its request has failed; `retry_after` in seconds, 0 if none was told."""
+        """Report a rejected or failed request to the client; `retry_after` in seconds, 0 without Retry-After."""
 
 
-def create_balancer(seed: int, index: int, incarnation: int, balancer_count: int) -> Balancer:
-    """Create the balancer of front end `index`; `incarnation` counts its restarts."""
+def create_balancer(seed: int, index: int, restarts: int, balancer_count: int) -> Balancer:
+    """Create the balancer of front end `index`; `restarts` is how often it has been restarted."""
     settings = replace(SETTINGS, zone=index % ZONE_COUNT, balancer_index=index, balancer_count=balancer_count)
-    return Balancer(settings, 100_003 * seed + 1_000 * incarnation + index)
+    return Balancer(settings, 100_003 * seed + 1_000 * restarts + index)
 
 
 class BalancerConnector:
-    """Connects the balancers with the simulation."""
+    """Connects the balancers to the simulation."""
 
     def __init__(self, state: SimulationState) -> None:
         """Create a connector; its `handler` has to be set before the first event."""
@@ -59,7 +59,7 @@
         self.deliver(frontend, EndpointsChanged(EndpointUpdateScope.CACHED, endpoints))
 
     def deliver(self, frontend: Frontend, event: Event) -> None:
-        """Deliver an event and carry out the actions that it leads to."""
+        """Deliver an event and carry out the resulting actions."""
         for action in frontend.balancer.handle(BALANCER_CLOCK_START + self._state.now, event):
             if isinstance(action, SetTimer):
                 fire = partial(self._fire_timer, frontend, frontend.balancer, action.timer)
@@ -68,11 +68,11 @@
                 self._handle_request_action(action)
 
     def publish(self, endpoint: Endpoint, time: float) -> None:
-        """Change an endpoint of the list at `time`; the balancers are told soon after."""
+        """Change an endpoint of the list at `time`; each balancer gets the change some time later."""
         self._state.queue.schedule(time, partial(self._change_list, endpoint))
         for frontend in self._state.frontends:
-            told_at = time + self._state.random.uniform(0.0, ENDPOINT_UPDATE_SPREAD)
-            self._state.queue.schedule(told_at, partial(self._tell_endpoint, frontend, endpoint))
+            delivery_time = time + self._state.random.uniform(0.0, ENDPOINT_UPDATE_SPREAD)
+            self._state.queue.schedule(delivery_time, partial(self._deliver_endpoint, frontend, endpoint))
 
     def _handle_request_action(self, action: Action) -> None:
         assert self.handler is not None
@@ -97,6 +97,6 @@
         if endpoint.state is ServerState.GONE:
             del self._state.endpoints[endpoint.server]
 
-    def _tell_endpoint(self, frontend: Frontend, endpoint: Endpoint) -> None:
+    def _deliver_endpoint(self, frontend: Frontend, endpoint: Endpoint) -> None:
         if not frontend.restarting:
             self.deliver(frontend, EndpointsChanged(EndpointUpdateScope.INCREMENTAL, (endpoint,)))
--- a/benchmarks/rolling_restart_simulation/client_lifecycle.py
+++ b/benchmarks/rolling_restart_simulation/client_lifecycle.py
@@ -1,4 +1,4 @@
-"""What the simulated clients do: arrive, request, connect, report their load, reconnect and leave."""
+"""The behaviour of simulated clients: arrive, request, connect, report load, reconnect and leave."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from benchmarks.rolling_restart_simulation import model
 from benchmarks.rolling_restart_simulation.balancer_connector import BalancerConnector
 from benchmarks.rolling_restart_simulation.client import Client, ClientState
-from benchmarks.rolling_restart_simulation.endpoint_notices import publish_crash
+from benchmarks.rolling_restart_simulation.endpoint_publication import publish_crash
 from benchmarks.rolling_restart_simulation.frontend import Frontend
 from benchmarks.rolling_restart_simulation.report import CountedEvent
 from benchmarks.rolling_restart_simulation.server import Server, ServerPhase
@@ -27,16 +27,16 @@
 
 
 class ClientLifecycle:
-    """Plays the clients, and carries out the balancers' actions on their requests."""
+    """Simulates the clients, and carries out the balancers' actions on their requests."""
 
     def __init__(self, state: SimulationState, connector: BalancerConnector) -> None:
-        """Become the handler of the connector's actions."""
+        """Register as the handler of the connector's actions."""
         self._state = state
         self._connector = connector
         connector.handler = self
 
     def schedule_arrival(self) -> None:
-        """Let the next client arrive, and after it all others."""
+        """Schedule the arrival of the next client; each arrival schedules the one after it."""
         self._state.queue.schedule(
             self._state.now + self._state.random.expovariate(self._state.arrival_rate), self._arrive
         )
@@ -76,20 +76,20 @@
         self._connector.deliver(client.current_frontend, ConnectionAdopted(request, server))
         self._connected(client)
 
-    def disconnect(self, client: Client, outcome: Outcome, balancer_told: bool = True) -> None:
-        """End the client's connection before it is done with it; it reconnects."""
+    def disconnect(self, client: Client, outcome: Outcome, notify_balancer: bool = True) -> None:
+        """End the client's connection while the client still needs it; the client reconnects."""
         self._close_connection(client)
         server = self._state.servers[client.server]
         client.state = ClientState.SERVER_CRASHED if server.phase is ServerPhase.CRASHED else ClientState.RECONNECTING
         client.reconnecting = True
-        if balancer_told:
-            self._connector.deliver(client.current_frontend, self._attempt_finished(client, outcome))
+        if notify_balancer:
+            self._connector.deliver(client.current_frontend, self._connection_ended_event(client, outcome))
         migrated = outcome is Outcome.CANCELLED and server.phase is ServerPhase.RUNNING
         delay = model.MIGRATION_RECONNECT_DELAY if migrated else model.RECONNECT_DELAY
         self._state.schedule_for_client(client, self._state.random.uniform(*delay), self.request)
 
     def abandon_request(self, client: Client) -> None:
-        """Let the client send its request anew, as its front end is gone."""
+        """Let the client send a new request, as its front end has stopped."""
         client.change_state(ClientState.RECONNECTING)
         delay = self._state.random.uniform(*model.RECONNECT_DELAY)
         self._state.schedule_for_client(client, delay, self.request)
@@ -97,7 +97,7 @@
     # Actions of the balancers
 
     def start_attempt(self, client: Client, action: StartAttempt) -> None:
-        """Connect the client to the action's server, as far as that server accepts it."""
+        """Connect the client to the action's server, if that server accepts the connection."""
         state, server = self._state, self._state.servers[action.server]
         state.statistics.count(CountedEvent.ATTEMPT)
         client.state_version += 1
@@ -111,7 +111,7 @@
             self._schedule_failure(client, model.TIME_STEP, Outcome.REJECTED)
             return
         server.record_attempt(state.now, state.setup_work)
-        if server.is_overrun_by_attempts(state.now):
+        if server.is_overloaded_by_attempts(state.now):
             self._crash(server)
         latency = model.CONNECT_LATENCY + server.backlog / server.capacity(state.now)
         if latency > action.timeout:
@@ -142,7 +142,7 @@
             delay = random.uniform(*model.REQUEST_BACKOFF) * 2**doublings
         self._state.schedule_for_client(client, delay, self.request)
 
-    # Internals
+    # Internal methods
 
     def _arrive(self) -> None:
         self.schedule_arrival()
@@ -220,7 +220,7 @@
     def _leave(self, client: Client) -> None:
         if client.state is ClientState.CONNECTED:
             self._close_connection(client)
-            self._connector.deliver(client.current_frontend, self._attempt_finished(client, Outcome.OK))
+            self._connector.deliver(client.current_frontend, self._connection_ended_event(client, Outcome.OK))
         elif client.state is ClientState.CONNECTING and not client.current_frontend.restarting:
             self._connector.deliver(client.current_frontend, ClientDisconnected(client.request_id))
         client.change_state(ClientState.DONE)
@@ -235,5 +235,5 @@
         publish_crash(self._state, self._connector, server)
 
     @staticmethod
-    def _attempt_finished(client: Client, outcome: Outcome) -> AttemptEnded:
+    def _connection_ended_event(client: Client, outcome: Outcome) -> AttemptEnded:
         return AttemptEnded(client.request_id, client.attempt, client.server, outcome, 0.0, True)
--- a/benchmarks/rolling_restart_simulation/event_queue.py
+++ b/benchmarks/rolling_restart_simulation/event_queue.py
@@ -1,11 +1,11 @@
-"""Simulated time: a queue of callbacks, run in the order of their time."""
+"""Simulated time: a queue of callbacks, run in time order."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 
 
 class EventQueue:
-    """Runs callbacks at their simulated time; those of the same time run in the order they were scheduled."""
+    """Runs callbacks at their simulated time; those of the same time run in scheduling order."""
 
     def __init__(self) -> None:
         """Start at time 0 with nothing scheduled."""
--- a/benchmarks/rolling_restart_simulation/faults.py
+++ b/benchmarks/rolling_restart_simulation/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong during a simulation: replaced servers, hung servers, restarting balancers and overload."""
+"""Faults of a simulation: replaced servers, hung servers, restarting balancers and overload."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from benchmarks.rolling_restart_simulation.balancer_connector import BalancerConnector, create_balancer
 from benchmarks.rolling_restart_simulation.client import ClientState
 from benchmarks.rolling_restart_simulation.client_lifecycle import ClientLifecycle
-from benchmarks.rolling_restart_simulation.endpoint_notices import publish_drain, publish_new_server
+from benchmarks.rolling_restart_simulation.endpoint_publication import publish_drain, publish_new_server
 from benchmarks.rolling_restart_simulation.frontend import Frontend
 from benchmarks.rolling_restart_simulation.report import CountedEvent
 from benchmarks.rolling_restart_simulation.server import Server, ServerPhase
@@ -20,7 +20,7 @@
     """Schedules the faults of a simulation and carries them out."""
 
     def __init__(self, state: SimulationState, connector: BalancerConnector, clients: ClientLifecycle) -> None:
-        """Create an injector that has scheduled nothing."""
+        """Create an injector without scheduled faults."""
         self._state = state
         self._connector = connector
         self._clients = clients
@@ -30,15 +30,15 @@
         random, server_count = self._state.random, len(self._state.servers)
         order = random.sample(range(server_count), server_count)
         half = server_count // 2
-        self._schedule_replacements(order[:half], random.uniform(*model.DRAIN_NOTICE_DELAY))
+        self._schedule_replacements(order[:half], random.uniform(*model.DRAIN_PUBLICATION_DELAY))
         self._schedule_hangs(order[half:][: max(1, server_count // model.SERVERS_PER_HANG)])
         self._schedule_balancer_restarts()
 
-    def drop_overload(self, server: Server) -> None:
-        """Let a server with a long backlog drop its heaviest connections."""
+    def drop_connections_on_overload(self, server: Server) -> None:
+        """Let a server with a long backlog drop its connections with the highest load."""
         now, capacity = self._state.now, server.capacity(self._state.now)
-        too_long = server.backlog > self._state.overload_drop_backlog * capacity
-        if not too_long or now < server.next_drop_at or server.is_hung(now):
+        overloaded = server.backlog > self._state.overload_drop_backlog * capacity
+        if not overloaded or now < server.next_drop_at or server.is_hung(now):
             return
         server.next_drop_at = now + model.OVERLOAD_DROP_INTERVAL
         for client in sorted(server.connections.values(), key=lambda client: -client.load):
@@ -47,12 +47,12 @@
             self._state.statistics.count(CountedEvent.CONNECTION_LOST)
             self._clients.disconnect(client, Outcome.CONNECTION_LOST)
 
-    def _schedule_replacements(self, servers: list[int], notice_delay: float) -> None:
+    def _schedule_replacements(self, servers: list[int], publication_delay: float) -> None:
         first_new_index = len(self._state.servers)
         for position, index in enumerate(servers):
             batch = position * model.REPLACEMENT_BATCHES // len(servers)
             start = model.REPLACEMENT_START + model.REPLACEMENT_DURATION * batch / (model.REPLACEMENT_BATCHES - 1)
-            replacement = partial(self._replace_server, index, first_new_index + position, notice_delay)
+            replacement = partial(self._replace_server, index, first_new_index + position, publication_delay)
             self._state.queue.schedule(start, replacement)
 
     def _schedule_hangs(self, servers: list[int]) -> None:
@@ -68,15 +68,15 @@
             start = model.BALANCER_RESTART_START + model.BALANCER_RESTART_INTERVAL * batch
             self._state.queue.schedule(start, partial(self._stop_balancer, self._state.frontends[index]))
 
-    def _replace_server(self, index: int, new_index: int, notice_delay: float) -> None:
+    def _replace_server(self, index: int, new_index: int, publication_delay: float) -> None:
         server = self._state.servers[index]
         server.phase = ServerPhase.DRAINING
         for client in list(server.connections.values()):
             self._state.statistics.count(CountedEvent.DRAINED)
             self._clients.disconnect(client, Outcome.CANCELLED)
-        notice_time = self._state.now + notice_delay
-        publish_drain(self._connector, server, notice_time)
-        stop_time = notice_time + model.STOP_AFTER_DRAIN_NOTICE
+        publication_time = self._state.now + publication_delay
+        publish_drain(self._connector, server, publication_time)
+        stop_time = publication_time + model.STOP_AFTER_DRAIN_PUBLICATION
         self._state.queue.schedule(stop_time, partial(self._stop_server, server))
         endpoint = server.endpoint
         new_server = self._state.add_server(new_index, endpoint.zone, endpoint.machine_type, self._state.now)
@@ -92,7 +92,7 @@
                 continue
             if client.state is ClientState.CONNECTED:
                 self._state.statistics.count(CountedEvent.BALANCER_RESTART)
-                self._clients.disconnect(client, Outcome.CANCELLED, balancer_told=False)
+                self._clients.disconnect(client, Outcome.CANCELLED, notify_balancer=False)
             elif client.state is ClientState.CONNECTING:
                 self._clients.abandon_request(client)
         restart_time = self._state.now + model.BALANCER_DOWNTIME
--- a/benchmarks/rolling_restart_simulation/frontend.py
+++ b/benchmarks/rolling_restart_simulation/frontend.py
@@ -18,11 +18,11 @@
 
 @dataclass(slots=True, eq=False)
 class Frontend:
-    """One front end. `connections` holds its open ones by server and client key."""
+    """One front end. `connections` holds the open connections by server and client key."""
 
     index: int
     zone: int
-    weight: float  # its share of the zone's clients, relative to the other front ends
+    weight: float  # relative share of the zone's clients
     balancer: Balancer
     restarting: bool = False
     connections: defaultdict[int, dict[int, Client]] = field(default_factory=_empty_connections)
--- a/benchmarks/rolling_restart_simulation/initial_placement.py
+++ b/benchmarks/rolling_restart_simulation/initial_placement.py
@@ -14,7 +14,7 @@
 
 
 def place_initial_clients(state: SimulationState, clients: ClientLifecycle, count: int) -> None:
-    """Place `count` clients, each session group on as few servers as hold it, and those filled alike."""
+    """Place `count` clients: each session group on as few servers as it needs, with its load spread evenly."""
     members: defaultdict[int, list[Client]] = defaultdict(list)
     for _ in range(count):
         client = clients.create_client()
@@ -35,13 +35,13 @@
 
 
 def _choose_servers(state: SimulationState, free: dict[int, float], load: float) -> list[int]:
-    """Choose servers for a session group of the given load; `free` is the capacity left by server."""
+    """Choose servers for a session group of the given load; `free` is each server's remaining capacity."""
     fitting = [index for index, capacity in free.items() if capacity >= load + SESSION_GROUP_WORK]
     if fitting:
         return [min(fitting, key=lambda index: free[index])]
     servers = sorted(free, key=lambda index: -free[index])
     cumulative = list(accumulate(max(0.0, free[index] - SESSION_GROUP_WORK) for index in servers))
-    if load > cumulative[-1]:  # overfill them alike, but take no more servers than an empty fleet would need
+    if load > cumulative[-1]:  # overload them evenly, but use no more servers than an empty fleet would need
         median_capacity = median(server.capacity(0.0) for server in state.servers.values())
         servers = servers[: 1 + int(load / (INITIAL_UTILIZATION * median_capacity))]
     return servers[: 1 + bisect(cumulative, load)]
--- a/benchmarks/rolling_restart_simulation/report.py
+++ b/benchmarks/rolling_restart_simulation/report.py
@@ -1,4 +1,4 @@
-"""The results of a simulation and their text form."""
+"""The result of a simulation and its text form."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CountedEvent(StrEnum):
-    """What is counted per period, in the order and by the name of the report."""
+    """The events that are counted per period; the report lists them in this order under their values."""
 
     MIGRATION = "moves"
     DRAINED = "drained"
@@ -21,12 +21,12 @@
 
 
 @dataclass(slots=True)
-class ServerGroupLevel:
-    """Utilization of the running servers of one age."""
+class ServerUtilization:
+    """Utilization of the running servers that started before the simulation, or of those that started during it."""
 
     server_count: int = 0
-    median_utilization: float = 0.0  # demand / capacity
-    median_demand: float = 0.0  # seconds of a standard core per second
+    median_utilization: float = 0.0  # demand divided by capacity
+    median_demand: float = 0.0  # standard cores
 
     def __str__(self) -> str:
         """Return the count and both medians."""
@@ -35,40 +35,40 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """The fleet at one moment. A pair is a session group with a server that has connections of it."""
+    """The fleet at one time. A pair is a session group with a server that has connections of it."""
 
     time: float
     connections: int
     pairs: int
-    pairs_of_one_connection: int
-    pair_work: float  # per second, for the pairs
-    load: float  # per second, of the connections
-    old_servers: ServerGroupLevel
-    new_servers: ServerGroupLevel
-    overrun_fraction: float  # of the connections, on servers that answer nothing in time
+    pairs_with_one_connection: int
+    pair_work: float  # standard cores used for the pairs
+    load: float  # standard cores used for the connections
+    old_servers: ServerUtilization
+    new_servers: ServerUtilization
+    overloaded_fraction: float  # fraction of connections on servers that answer no message in time
 
     def __str__(self) -> str:
-        """Return one line."""
+        """Return one line of the report."""
         return (
             f"{self.time:4.0f} s  {self.connections:5d} conn  {self.pairs:4d} pairs  "
-            f"{self.pairs_of_one_connection:3d} single  work {self.pair_work:3.0f} / {self.load:3.0f}  "
-            f"old {self.old_servers}  new {self.new_servers}  overrun {self.overrun_fraction:.2f}"
+            f"{self.pairs_with_one_connection:3d} single  work {self.pair_work:3.0f} / {self.load:3.0f}  "
+            f"old {self.old_servers}  new {self.new_servers}  overrun {self.overloaded_fraction:.2f}"
         )
 
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What a simulation showed."""
+    """The figures of one simulation."""
 
-    served_fraction: float  # of the wanted service, by priority weight
-    lost_fractions: dict[str, float]  # of the same, by cause
+    served_fraction: float  # fraction of the requested service, by priority weight
+    lost_fractions: dict[str, float]  # fractions of the requested service, by cause
     snapshots: list[Snapshot]
     counts: list[Counter[CountedEvent]]  # one per counting period
-    median_duration: float  # s, of connections
+    median_duration: float  # seconds that connections were open
     crashes: int
 
     def __str__(self) -> str:
-        """Return the report, several lines."""
+        """Return the report as several lines."""
         lost = "  ".join(f"{cause} {part:.3f}" for cause, part in sorted(self.lost_fractions.items()))
         return "\n".join(
             [
--- a/benchmarks/rolling_restart_simulation/server.py
+++ b/benchmarks/rolling_restart_simulation/server.py
@@ -1,4 +1,4 @@
-"""A simulated server: its capacity, its load and how it answers."""
+"""A simulated server: its capacity, load and response times."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
     USABLE_CAPACITY_FRACTION,
 )
 
-LONG_AGO, NEVER = -1e9, 1e9  # s of simulated time
-MIN_IDLE_FRACTION = 0.05  # bounds the queueing time of a message
+LONG_AGO = -1e9  # seconds of simulated time
+NEVER = 1e9  # seconds of simulated time
+MIN_IDLE_FRACTION = 0.05  # limits the queueing time of a message
 
 
 class ServerPhase(Enum):
-    """What a server does with connections."""
+    """Whether a server accepts and keeps connections."""
 
     RUNNING = "running"
     DRAINING = "draining"
@@ -48,33 +49,33 @@
     phase: ServerPhase = ServerPhase.RUNNING
     hangs_from: float = NEVER
     hangs_until: float = NEVER
-    backlog: float = 0.0  # work not done yet
-    setup_work: float = 0.0  # work of connection setups not done yet
-    load: float = 0.0  # of its connections, work per second
+    backlog: float = 0.0  # outstanding work
+    setup_work: float = 0.0  # outstanding work of connection setups
+    load: float = 0.0  # work per second of the connections
     next_drop_at: float = 0.0
     connections: dict[int, Client] = field(default_factory=dict)
     session_groups: Counter[int] = field(default_factory=Counter)
     attempt_times: deque[float] = field(default_factory=deque)
 
     def is_down(self) -> bool:
-        """Return whether connections to it are refused."""
+        """Return whether connection attempts are refused, as the process has ended."""
         return self.phase in (ServerPhase.STOPPED, ServerPhase.CRASHED)
 
     def is_hung(self, now: float) -> bool:
-        """Return whether it neither works nor answers at `now`."""
+        """Return whether the server does no work and sends no responses at `now`."""
         return self.hangs_from <= now < self.hangs_until
 
     def capacity_fraction(self, now: float) -> float:
-        """Return the part of its capacity that is available; less than 1 during its slow start."""
+        """Return the available fraction of the full capacity; less than 1 during slow start."""
         progress = min(1.0, max(0.0, now - self.started_at) / self.slow_start_duration)
         return self.initial_capacity_fraction + (1 - self.initial_capacity_fraction) * progress
 
     def capacity(self, now: float) -> float:
-        """Return the work that it can do per second."""
+        """Return the work that the server can do per second."""
         return USABLE_CAPACITY_FRACTION * CORES_PER_SERVER * self.core_speed * self.capacity_fraction(now)
 
     def demand(self) -> float:
-        """Return the work per second that it is asked for; connection setups are spread over a second."""
+        """Return the requested work per second; connection setups are spread over about a second."""
         return max(0.0, self.load) + SESSION_GROUP_WORK * len(self.session_groups) + self.setup_work
 
     def message_latency(self, now: float) -> float:
@@ -86,21 +87,21 @@
         return queueing + self.backlog / capacity
 
     def timely_fraction(self, now: float, class_index: int) -> float:
-        """Return the part of a request class's messages that is answered in time."""
+        """Return the fraction of a request class's messages that are answered in time."""
         capacity = self.capacity(now)
         if self.is_hung(now) or self.backlog > MAX_TIMELY_BACKLOG[class_index] * capacity:
             return 0.0
         return min(1.0, max(0.0, (1 - self.demand() / capacity) / (1 - TIMELY_UTILIZATION)))
 
     def record_attempt(self, now: float, setup_work: float) -> None:
-        """Take on the work of a connection setup."""
+        """Add the work of a connection setup and record its time."""
         self.setup_work += setup_work
         self.attempt_times.append(now)
         while self.attempt_times[0] < now - OVERLOAD_WINDOW:
             self.attempt_times.popleft()
 
-    def is_overrun_by_attempts(self, now: float) -> bool:
-        """Return whether it gets so many attempts during its slow start that it crashes."""
+    def is_overloaded_by_attempts(self, now: float) -> bool:
+        """Return whether so many attempts arrive during slow start that the server crashes."""
         if now >= self.started_at + self.slow_start_duration:
             return False
         listed_speed = LISTED_CORE_SPEEDS[self.endpoint.machine_type]
@@ -110,21 +111,21 @@
         return len(self.attempt_times) > expected + 2 * sqrt(expected) + 2
 
     def add_connection(self, client: Client) -> None:
-        """Hold the client's connection."""
+        """Add the client's connection and load."""
         self.connections[client.key] = client
         self.load += client.load
         self.session_groups[client.session_group] += 1
 
     def remove_connection(self, client: Client) -> None:
-        """Let go of the client's connection."""
+        """Remove the client's connection and load."""
         del self.connections[client.key]
         self.load -= client.load
         self.session_groups[client.session_group] -= 1
         if not self.session_groups[client.session_group]:
             del self.session_groups[client.session_group]
 
-    def work_for_step(self, now: float) -> None:
-        """Work for a time step, if it does not hang; what exceeds the capacity adds to the backlog."""
+    def process_step(self, now: float) -> None:
+        """Process one time step of work, unless the server hangs; work beyond the capacity adds to the backlog."""
         if self.is_hung(now):
             return
         self.backlog = max(0.0, self.backlog + (self.demand() - self.capacity(now)) * TIME_STEP)
--- a/benchmarks/rolling_restart_simulation/simulation.py
+++ b/benchmarks/rolling_restart_simulation/simulation.py
@@ -1,4 +1,4 @@
-"""The simulation: sets up its world and advances it step by step."""
+"""Sets up the simulated fleet and advances it step by step."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Simulation:
-    """One simulated world with real balancers."""
+    """One simulated fleet with real balancers."""
 
     def __init__(
         self, seed: int, balancer_count: int, server_count: int, client_count: int, with_faults: bool = True
     ) -> None:
-        """Set up a fleet that is in operation; `with_faults` plays a rolling restart."""
+        """Set up a fleet in operation; `with_faults` schedules a rolling restart."""
         self._state = SimulationState(seed, client_count)
         self._connector = BalancerConnector(self._state)
         self._clients = ClientLifecycle(self._state, self._connector)
@@ -35,7 +35,7 @@
             self._faults.schedule_rolling_restart()
 
     def run(self) -> SimulationResult:
-        """Run to the end and return what it showed."""
+        """Run to the end and return the figures."""
         state, statistics = self._state, self._state.statistics
         snapshot_times = list(model.SNAPSHOT_TIMES)
         for step in range(1, round(model.SIMULATION_DURATION / model.TIME_STEP) + 1):
@@ -65,11 +65,11 @@
     def _advance_servers(self) -> None:
         for server in list(self._state.servers.values()):
             if server.phase in (ServerPhase.RUNNING, ServerPhase.DRAINING):
-                server.work_for_step(self._state.now)
-                self._faults.drop_overload(server)
+                server.process_step(self._state.now)
+                self._faults.drop_connections_on_overload(server)
 
     def _report_latencies(self, step: int) -> None:
-        """Tell some of the balancers, in turn, about messages that wait at hung servers."""
+        """Report messages that wait at hung servers to some of the balancers, in turn."""
         for frontend in self._state.frontends[step % model.LATENCY_REPORT_STEPS :: model.LATENCY_REPORT_STEPS]:
             if not frontend.restarting:
                 self._report_hung_servers(frontend)
--- a/benchmarks/rolling_restart_simulation/state.py
+++ b/benchmarks/rolling_restart_simulation/state.py
@@ -30,11 +30,11 @@
 class SimulationState:
     """Random numbers, time, clients, servers and front ends of one simulation.
 
-    All parts draw from the same random numbers: the order of draws determines the figures of a seed.
+    All parts use the same random generator, so the order of draws determines the figures of a seed.
     """
 
     def __init__(self, seed: int, client_count: int) -> None:
-        """Draw the properties of this simulation's world."""
+        """Draw the random properties of this simulation."""
         self.seed = seed
         self.random = Random(seed)
         self.queue = EventQueue()
@@ -42,7 +42,7 @@
         self.clients: dict[int, Client] = {}
         self.servers: dict[int, Server] = {}
         self.frontends: list[Frontend] = []
-        self.endpoints: dict[int, Endpoint] = {}  # the list of the discovery service
+        self.endpoints: dict[int, Endpoint] = {}  # the discovery service's endpoint list
         self.arrival_rate = client_count / MEAN_CLIENT_DURATION  # new clients per second
         self.setup_work = self.random.uniform(*SETUP_WORK)
         self.overload_drop_backlog = self.random.uniform(*OVERLOAD_DROP_BACKLOG)
@@ -57,9 +57,11 @@
         return self.queue.now
 
     def add_server(self, index: int, zone: int, machine_type: int, started_at: float | None = None) -> Server:
-        """Add a server that starts at `started_at`, or that was there long before the simulation."""
-        boot_time = 0.0 if started_at is None else BALANCER_CLOCK_START + started_at
-        endpoint = Endpoint(index, zone, weight=CORES_PER_SERVER, started_at=boot_time, machine_type=machine_type)
+        """Add a server that starts at `started_at`; without it, one that started long before the simulation."""
+        listed_start_time = 0.0 if started_at is None else BALANCER_CLOCK_START + started_at
+        endpoint = Endpoint(
+            index, zone, weight=CORES_PER_SERVER, started_at=listed_start_time, machine_type=machine_type
+        )
         server = Server(endpoint, self.random.uniform(*ACTUAL_CORE_SPEEDS[machine_type]))
         if started_at is not None:
             server.started_at = started_at
--- a/benchmarks/rolling_restart_simulation/statistics_collector.py
+++ b/benchmarks/rolling_restart_simulation/statistics_collector.py
@@ -1,4 +1,4 @@
-"""Collects what the report tells: service given and lost, events, durations and snapshots."""
+"""Collects the figures of the report: service given and lost, events, durations and snapshots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     SIMULATION_DURATION,
     TIME_STEP,
 )
-from benchmarks.rolling_restart_simulation.report import CountedEvent, ServerGroupLevel, SimulationResult, Snapshot
+from benchmarks.rolling_restart_simulation.report import CountedEvent, ServerUtilization, SimulationResult, Snapshot
 from benchmarks.rolling_restart_simulation.server import Server, ServerPhase
 
 
@@ -25,10 +25,10 @@
     """Collects the figures of one simulation."""
 
     def __init__(self, queue: EventQueue) -> None:
-        """Start with nothing counted; `queue` tells the time."""
+        """Start with all figures at zero; `queue` provides the current time."""
         self.crashes = 0
         self._queue = queue
-        self._wanted = 0.0  # s of service, by priority weight
+        self._wanted = 0.0  # seconds of service, by priority weight
         self._served = 0.0
         self._lost = defaultdict[str, float](float)
         self._durations: list[float] = []
@@ -41,12 +41,12 @@
         self._counts[period][event] += 1
 
     def record_connection_end(self, client: Client) -> None:
-        """Record how long the client's connection was open, if it counts."""
+        """Record how long the client's connection was open, if it began within the sample period."""
         if _is_sampled(client):
             self._durations.append(self._queue.now - client.connected_at)
 
     def record_step(self, clients: Collection[Client], servers: dict[int, Server]) -> None:
-        """Add the service that each client got and missed in a time step."""
+        """Add the service that each client received and lost in one time step."""
         now = self._queue.now
         timely = {
             index: [server.timely_fraction(now, class_index) for class_index in range(len(PRIORITY_WEIGHTS))]
@@ -59,24 +59,24 @@
             self._wanted += wanted
             self._served += wanted * fraction
             if fraction < 1.0:
-                self._lost[self._cause(client, servers)] += wanted * (1 - fraction)
+                self._lost[self._loss_cause(client, servers)] += wanted * (1 - fraction)
 
     def record_snapshot(self, servers: Collection[Server]) -> None:
         """Record the state of the fleet."""
         now = self._queue.now
         running = [server for server in servers if server.phase is ServerPhase.RUNNING]
         pairs = [count for server in servers for count in server.session_groups.values()]
-        overrun = sum(len(server.connections) for server in running if not server.timely_fraction(now, 0))
+        overloaded = sum(len(server.connections) for server in running if not server.timely_fraction(now, 0))
         snapshot = Snapshot(
             time=now,
             connections=sum(pairs),
             pairs=len(pairs),
-            pairs_of_one_connection=pairs.count(1),
+            pairs_with_one_connection=pairs.count(1),
             pair_work=SESSION_GROUP_WORK * len(pairs),
             load=sum(server.load for server in servers),
-            old_servers=_level([server for server in running if server.started_at < 0], now),
-            new_servers=_level([server for server in running if server.started_at >= 0], now),
-            overrun_fraction=overrun / max(1, sum(pairs)),
+            old_servers=_utilization([server for server in running if server.started_at < 0], now),
+            new_servers=_utilization([server for server in running if server.started_at >= 0], now),
+            overloaded_fraction=overloaded / max(1, sum(pairs)),
         )
         self._snapshots.append(snapshot)
 
@@ -96,7 +96,7 @@
             self.crashes,
         )
 
-    def _cause(self, client: Client, servers: dict[int, Server]) -> str:
+    def _loss_cause(self, client: Client, servers: dict[int, Server]) -> str:
         if client.state is ClientState.CONNECTING:
             return str(ClientState.RECONNECTING.value)
         if client.state is not ClientState.CONNECTED:
@@ -111,10 +111,10 @@
     return DURATION_SAMPLE_FROM <= client.connected_at < DURATION_SAMPLE_TO
 
 
-def _level(servers: list[Server], now: float) -> ServerGroupLevel:
+def _utilization(servers: list[Server], now: float) -> ServerUtilization:
     if not servers:
-        return ServerGroupLevel()
-    return ServerGroupLevel(
+        return ServerUtilization()
+    return ServerUtilization(
         len(servers),
         median(server.demand() / server.capacity(now) for server in servers),
         median(server.demand() for server in servers),
