--- a/benchmarks/fleet_logs.py
+++ b/benchmarks/fleet_logs.py
@@ -44,7 +44,7 @@
 SLOW_START_DURATION = 24.0
 LOAD_INTERVAL = 3  # seconds between the lines of `load`
 MAX_LOAD_TIME = 60  # seconds
-AGE_INTERVAL = 2  # seconds of server age per line of `cold`
+AGE_INTERVAL = 2  # seconds of server age for each line of `cold`
 MAX_AGE = 60  # seconds
 ACCOUNT_TIMES = 1, 4, 10, 16, 20, 24, 28  # seconds
 DURATION_SAMPLE_FROM = 10  # seconds
@@ -101,7 +101,7 @@
     connections = []
     for balancer, time, event in read_events(folder):
         if event["event"] == "daemon_started":
-            # A process that ended without logging it, as by SIGKILL, lost its connections; their end is not logged.
+            # If the previous process was killed, it logged no end of the connections that it lost.
             for key in [key for key in open_connections if key[0] == balancer]:
                 lost = open_connections.pop(key)
                 lost.ended_at, lost.end_reason = time, "balancer_restarted"
