--- a/benchmarks/rolling_restart_simulation/model.py
+++ b/benchmarks/rolling_restart_simulation/model.py
@@ -38,7 +38,7 @@
 OVERLOAD_WINDOW = 2.0
 
 # Clients; tuples are indexed by request class
-MEAN_CONNECTION_LOAD = 1 / 9.0  # of a connection of the first class
+MEAN_CONNECTION_LOAD = 1 / 9.0  # mean load of the first class; `RELATIVE_LOADS` scales it for the others
 MAX_CONNECTION_LOAD = 0.58
 RELATIVE_LOADS = (1.0, 0.35)
 PRIORITY_WEIGHTS = (5.0, 3.0)
