--- a/benchmarks/rolling_restart_simulation/model.py
+++ b/benchmarks/rolling_restart_simulation/model.py
@@ -28,10 +28,8 @@
 TIMELY_UTILIZATION = 0.85  # with a higher utilization, a part of the messages is late
 MAX_TIMELY_BACKLOG = (0.15, 0.06)  # by request class: with a longer backlog no message is answered in time
 SETUP_WORK = (0.0065, 0.018)  # range, work of one connection setup
-OVERLOAD_DROP_BACKLOG = (
-    0.5,
-    1.5,
-)  # range, in seconds to work it off; with a longer backlog a server drops connections
+# A server drops connections while its backlog is longer than this number of seconds of its capacity.
+OVERLOAD_DROP_BACKLOG = (0.5, 1.5)  # range
 OVERLOAD_DROP_INTERVAL = 0.25
 UTILIZATION_AFTER_DROP = 0.5  # the server stops dropping connections at this utilization
 OVERLOAD_MULTIPLE = 4.0  # a server crashes above this multiple of the rate that fills it during its slow start
