--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import trio
-from standins import SETTINGS, WAIT, Runner
+from standins import SETTINGS, TIMEOUT_SECONDS, Runner
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
@@ -184,7 +184,7 @@
                 await trio.sleep_forever()
 
         async def main() -> None:
-            with trio.fail_after(WAIT):
+            with trio.fail_after(TIMEOUT_SECONDS):
                 async with trio.open_nursery() as outer:
                     self.nursery = await outer.start(run_frontend)
                     await script(self)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT = 20.0  # for anything; far more than it takes
+TIMEOUT_SECONDS = 20.0  # limit of every wait; what is waited for takes far less
 
 SETTINGS: dict[str, Any] = {
     "discovery": "on_request",
@@ -48,11 +48,11 @@
 }
 
 
-def until(done: Callable[[], Any], what: str = "") -> Any:
-    """Wait for something to become true."""
-    end = time.monotonic() + WAIT
-    while not (value := done()):
-        assert time.monotonic() < end, f"in vain: {what}"
+def wait_until(condition: Callable[[], Any], description: str = "") -> Any:
+    """Call `condition` until its result is true, and return that; fail after the timeout with the description."""
+    give_up_at = time.monotonic() + TIMEOUT_SECONDS
+    while not (value := condition()):
+        assert time.monotonic() < give_up_at, f"timed out waiting for {description}"
         time.sleep(0.01)
     return value
 
@@ -151,7 +151,7 @@
 
     def offered(self) -> tuple[socket.socket, bytes]:
         """The next connection that is held, and its first line."""
-        return self.offers.get(timeout=WAIT)
+        return self.offers.get(timeout=TIMEOUT_SECONDS)
 
     def target(self, **more: Any) -> dict[str, Any]:
         return {
@@ -280,7 +280,7 @@
         self.configure(**config)
         seen = len(self._reloads())
         self.process.send_signal(signal.SIGHUP)
-        event: dict[str, Any] = until(lambda: self._reloads()[seen:], "the reload")[0]
+        event: dict[str, Any] = wait_until(lambda: self._reloads()[seen:], "the reload")[0]
         return event
 
     def _reloads(self) -> list[dict[str, Any]]:
@@ -288,7 +288,7 @@
 
     def start(self) -> None:
         self.spawn()
-        until(self._ready, "the program is ready")
+        wait_until(self._ready, "the program is ready")
 
     def spawn(self) -> None:
         """Start the process without waiting for it."""
@@ -335,16 +335,16 @@
         """The counters, printed on request."""
         seen = len(self.events("counters_reported"))
         self.process.send_signal(signal.SIGUSR1)
-        counts: dict[str, int] = until(lambda: self.events("counters_reported")[seen:], "counters")[0]["counts"]
+        counts: dict[str, int] = wait_until(lambda: self.events("counters_reported")[seen:], "counters")[0]["counts"]
         return counts
 
     def terminate(self) -> int:
         self.process.terminate()
-        return self.process.wait(WAIT)
+        return self.process.wait(TIMEOUT_SECONDS)
 
     def kill(self) -> None:
         self.process.kill()
-        self.process.wait(WAIT)
+        self.process.wait(TIMEOUT_SECONDS)
         self.check_internal_errors()
 
     def check_internal_errors(self) -> None:
@@ -359,7 +359,7 @@
     count = 0
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, WAIT)
+        self.sock = socket.create_connection(address, TIMEOUT_SECONDS)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.lines = self.sock.makefile("rb")
 
@@ -411,10 +411,10 @@
 
     def drain(self, runner: Runner) -> None:
         """Tell that it drains, and wait until the program has heard it."""
-        until(lambda: self.discovery.watches, "a watch")
+        wait_until(lambda: self.discovery.watches, "a watch")
         self.discovery.change(runner.target(state="leaving"))
         rev = self.discovery.rev
-        until(lambda: any(e["revision"] == rev for e in self.program.events("endpoints_updated")), "the drain")
+        wait_until(lambda: any(e["revision"] == rev for e in self.program.events("endpoints_updated")), "the drain")
 
     def close(self) -> None:
         self.program.kill()
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -6,7 +6,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness, Gate
-from standins import Client, Runner, until
+from standins import Client, Runner, wait_until
 
 
 @pytest.mark.parametrize("departure", ["ends", "resets"])
@@ -117,7 +117,7 @@
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000\r\n" % n)
         leave(client)
     deployment.program.process.send_signal(signal.SIGCONT)
-    until(lambda: deployment.program.counts().get("connections", 0) >= 21, "the connections")
+    wait_until(lambda: deployment.program.counts().get("connections", 0) >= 21, "the connections")
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
     assert sum(len(server.first_lines) for server in deployment.runners) == 1
@@ -129,7 +129,7 @@
         server.held = True
     with deployment.client() as client:
         client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
-        attempted_server = until(
+        attempted_server = wait_until(
             lambda: [server for server in deployment.runners if server.first_lines], "the attempt"
         )[0]
         connection, _ = attempted_server.offered()
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness
-from standins import WAIT, Client, Discovery, Program, Runner, until
+from standins import TIMEOUT_SECONDS, Client, Discovery, Program, Runner, wait_until
 
 from aspensaddle.frontends.line_protocol.connection_slots import (
     MIN_STAGE_SHARE,
@@ -71,7 +71,7 @@
                 responses.append(client.echo(b"PING"))
             except OSError:  # the connection was closed
                 break
-            assert time.monotonic() - started_at < WAIT
+            assert time.monotonic() - started_at < TIMEOUT_SECONDS
         assert len(responses) < 16
 
 
@@ -91,7 +91,7 @@
         assert client.line() == b"ERR\r\n"
     with deployment.client() as client:
         client.send(b"OPEN b k c=test-run,d=3000\r\n")
-        until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
+        wait_until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
         client.send(extra)
         assert client.line() == b"ERR\r\n"
     assert "connections_established" not in deployment.program.counts()
@@ -146,7 +146,7 @@
             except trio.BrokenResourceError:
                 pass
 
-        with trio.fail_after(WAIT):
+        with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood)
                 bytes_read = 0
@@ -159,7 +159,7 @@
                     return has_more
 
                 link.receive = count_received
-                await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + WAIT))
+                await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + TIMEOUT_SECONDS))
                 assert MAX_LINGER_BYTES <= bytes_read < 2 * MAX_LINGER_BYTES
         await listener.aclose()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from standins import SETTINGS, WAIT, Discovery, until
+from standins import SETTINGS, TIMEOUT_SECONDS, Discovery, wait_until
 
 from aspensaddle.frontends.line_protocol.connection_slots import ACCEPT_BATCH, RESERVED_DESCRIPTORS
 from aspensaddle.frontends.line_protocol.health_checker import MAX_HEALTH_CHECK_CONNECTIONS
@@ -41,9 +41,9 @@
     deployment = world(**limit)
     for server in deployment.runners:
         server.report = b"PONG inflight=1,x0=0.01\r\n"
-    until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.close()  # discovery is down: calls fail
-    until(lambda: deployment.program.events("discovery_call_failed"), "a failed call")
+    wait_until(lambda: deployment.program.events("discovery_call_failed"), "a failed call")
     established, silent = fill_with_clients(deployment, 128)
     # With health checks, the reports of the servers show them as full earlier.
     assert len(established) >= (5 if "settings" in limit else 30)
@@ -51,7 +51,7 @@
     new_discovery = Discovery([server.target() for server in deployment.runners])
     try:
         deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
-        until(lambda: new_discovery.watches, "a watch of the new discovery")
+        wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
         descriptor_counts.append(deployment.program.descriptors())
         deployment.discovery = new_discovery
         deployment.drain(deployment.runners[0])
@@ -65,7 +65,7 @@
         for client in silent:
             assert re.fullmatch(rb"BUSY( \d+)?\r\n|ERR\r\n", client.rest())
             client.close()
-        thread.join(WAIT)
+        thread.join(TIMEOUT_SECONDS)
         assert exit_codes == [0] and max(descriptor_counts) <= 128
         counts = deployment.program.events("counters_reported")[-1]["counts"]
         assert not {n for n in counts if n.startswith(("accepts_failed_", "connects_failed_", "internal_errors"))}
@@ -76,14 +76,14 @@
 def test_silent_clients_beyond_the_descriptor_limit_do_not_prevent_a_discovery_call(world):
     """They connect while discovery is down and stay connected."""
     deployment = world(files=96)
-    until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.close()
-    until(lambda: len(deployment.program.events("discovery_call_failed")) > 1, "failed calls")
+    wait_until(lambda: len(deployment.program.events("discovery_call_failed")) > 1, "failed calls")
     silent = [deployment.client() for _ in range(300)]
     new_discovery = Discovery([server.target() for server in deployment.runners])
     try:
         deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
-        until(lambda: new_discovery.watches, "a watch of the new discovery")
+        wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
         with deployment.client() as client:
             assert client.open().startswith(b"UP ")
     finally:
@@ -96,8 +96,10 @@
 def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(world):
     """An idle process holds the listener, the watch, the event loop, signals and the standard streams."""
     deployment = world()
-    until(lambda: deployment.discovery.watches, "a watch")
-    until(lambda: deployment.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(
+        lambda: deployment.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process"
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -13,7 +13,7 @@
 import trio.testing
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import SETTINGS, WAIT, Discovery, Program, Runner, Server, reset, until
+from standins import SETTINGS, TIMEOUT_SECONDS, Discovery, Program, Runner, Server, reset, wait_until
 
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.discovery import watch_policy
@@ -136,7 +136,7 @@
     }
 
     async def main():
-        with pytest.MonkeyPatch.context() as patch, trio.fail_after(WAIT):
+        with pytest.MonkeyPatch.context() as patch, trio.fail_after(TIMEOUT_SECONDS):
             for name, value in shortened.items():
                 patch.setattr(watch_policy, name, value)
             watcher = EndpointWatcher(server.address, driver, driver, Counters(), log, is_local_agent=is_local_agent)
@@ -153,7 +153,7 @@
     return driver, events
 
 
-async def wait_until(condition):
+async def wait_until_async(condition):
     while not condition():
         await trio.sleep(0.005)
 
@@ -193,14 +193,14 @@
 
 def test_hung_call_to_a_local_agent_is_repeated_without_a_hedged_call():
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert "discovery_calls_hedged" not in context.watcher._counters
 
     run_watcher(
         ScriptedDiscovery(hang, hang, serve_watch(endpoint_list(9, "s-0"))),
         scenario,
         AGENT_RESPONSE_TIMEOUT_SECONDS=0.15,
-        RESPONSE_TIMEOUT_SECONDS=WAIT,
+        RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS,
         HEDGE_DELAY_SECONDS=0.02,
         is_local_agent=True,
     )
@@ -279,13 +279,13 @@
 def test_incomplete_data_does_not_prevent_the_silence_timeout(data):
     def never_complete(server, connection):
         connection.sendall(HEAD + http_chunk(endpoint_list(1, "s-0")))
-        server.signals["first list applied"].wait(WAIT)
+        server.signals["first list applied"].wait(TIMEOUT_SECONDS)
         server.send_repeatedly(connection, data)
 
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         context.server.signals["first list applied"].set()
-        await wait_until(lambda: len(context.driver.updates) == 2)
+        await wait_until_async(lambda: len(context.driver.updates) == 2)
         assert context.driver.updates[-1] == (EndpointUpdateScope.COMPLETE, (2, ["s-1"]))
 
     run_watcher(ScriptedDiscovery(never_complete, serve_watch(endpoint_list(2, "s-1"))), scenario)
@@ -297,7 +297,7 @@
         server.send_repeatedly(connection, http_chunk(b"\r\n"))
 
     async def scenario(context):
-        await wait_until(lambda: len(context.driver.updates) == 2)
+        await wait_until_async(lambda: len(context.driver.updates) == 2)
         assert context.driver.revisions == [1, 3]
 
     run_watcher(ScriptedDiscovery(never_complete, serve_watch(endpoint_list(3, "s-1"))), scenario)
@@ -305,7 +305,7 @@
 
 def test_heartbeats_keep_a_watch_open():
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         await trio.sleep(3 * watch_policy.SILENCE_TIMEOUT_SECONDS)
         assert len(context.server.calls) == 1
 
@@ -326,30 +326,32 @@
     """The first call is not cancelled, since it may only be queued, but it must not delay the change."""
 
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert context.driver.revisions == [3] and len(context.server.calls) == 2
-        await wait_until(lambda: len(context.watcher._calls) == 1)  # only the followed call is left
-        context.server.connections[0].settimeout(WAIT)
+        await wait_until_async(lambda: len(context.watcher._calls) == 1)  # only the followed call is left
+        context.server.connections[0].settimeout(TIMEOUT_SECONDS)
         assert context.server.connections[0].recv(10) == b""  # the hung call was closed
 
     run_watcher(
-        ScriptedDiscovery(first_script, serve_watch(endpoint_list(3, "s-0"))), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT
+        ScriptedDiscovery(first_script, serve_watch(endpoint_list(3, "s-0"))),
+        scenario,
+        RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS,
     )
 
 
 def test_hung_hedged_call_does_not_end_the_followed_call():
     def serve_late(server, connection):
-        server.signals["second call made"].wait(WAIT)
+        server.signals["second call made"].wait(TIMEOUT_SECONDS)
         serve_watch(endpoint_list(4, "s-0"))(server, connection)
 
     async def scenario(context):
-        await wait_until(lambda: len(context.server.calls) == 2)
+        await wait_until_async(lambda: len(context.server.calls) == 2)
         context.server.signals["second call made"].set()  # the first call is served now
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         await trio.sleep(0.3)
         assert context.driver.revisions == [4] and len(context.server.calls) == 2 and len(context.watcher._calls) == 1
 
-    run_watcher(ScriptedDiscovery(serve_late, hang), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(ScriptedDiscovery(serve_late, hang), scenario, RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS)
 
 
 # ------------------------------------------------------------ invalid responses
@@ -379,7 +381,7 @@
 )
 def test_truncated_or_invalid_response_changes_nothing_and_the_call_is_repeated(script):
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert context.driver.revisions == [9] and context.watcher.revision == 9
         assert context.server.calls[:2] == [f"{DISCOVERY_PATH}?watch=1&from=5"] * 2
 
@@ -390,14 +392,14 @@
 def test_complete_list_is_applied_if_its_connection_breaks_right_after_it(break_connection):
     def list_then_break(server, connection):
         connection.sendall(HEAD + http_chunk(endpoint_list(7, "s-0")))
-        server.signals["list applied"].wait(WAIT)
+        server.signals["list applied"].wait(TIMEOUT_SECONDS)
         break_connection(connection)
 
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert context.watcher.revision == 7
         context.server.signals["list applied"].set()
-        await wait_until(lambda: len(context.driver.updates) == 2)
+        await wait_until_async(lambda: len(context.driver.updates) == 2)
         assert context.server.calls[1].endswith("from=7")
 
     run_watcher(ScriptedDiscovery(list_then_break, serve_watch(endpoint_list(8, "s-1", complete=False))), scenario)
@@ -407,7 +409,7 @@
     """Guards against setting the revision before applying the update: one that failed was never requested again."""
 
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert context.server.calls[1].endswith("from=5") and context.driver.revisions == [6]
         assert [fields["error"] for name, fields in context.events if name == "internal_error"]
 
@@ -416,7 +418,7 @@
 
 def test_calls_are_repeated_in_time_after_many_rejections_in_a_row():
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         assert len(context.server.calls) == 13
 
     run_watcher(ScriptedDiscovery(*[reject_call] * 12, serve_watch(endpoint_list(9, "s-0"))), scenario)
@@ -429,35 +431,37 @@
     """The first call is served only after the second has returned a change."""
 
     def serve_late(server, connection):
-        server.signals["change applied"].wait(WAIT)
+        server.signals["change applied"].wait(TIMEOUT_SECONDS)
         connection.sendall(HEAD + http_chunk(endpoint_list(5, "old")))
 
     async def scenario(context):
-        await wait_until(lambda: len(context.server.calls) == 2)
+        await wait_until_async(lambda: len(context.server.calls) == 2)
         context.watcher._calls[0].scope = trio.CancelScope()  # so that the first call is not cancelled in time
         context.server.signals["first call kept"].set()
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         context.server.signals["change applied"].set()
-        await wait_until(lambda: context.watcher._counters["endpoint_updates_ignored"])
+        await wait_until_async(lambda: context.watcher._counters["endpoint_updates_ignored"])
         assert context.driver.revisions == [6] and context.watcher.revision == 6
 
     def serve_change(server, connection):
-        server.signals["first call kept"].wait(WAIT)
+        server.signals["first call kept"].wait(TIMEOUT_SECONDS)
         serve_watch(endpoint_list(6, "new", complete=False))(server, connection)
 
-    run_watcher(ScriptedDiscovery(serve_late, serve_change), scenario, revision=4, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(
+        ScriptedDiscovery(serve_late, serve_change), scenario, revision=4, RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS
+    )
 
 
 def test_lower_revisions_of_a_restarted_service_are_applied():
     def list_then_restart(server, connection):
         connection.sendall(HEAD + http_chunk(endpoint_list(40, "s-0")))
-        server.signals["list applied"].wait(WAIT)
+        server.signals["list applied"].wait(TIMEOUT_SECONDS)
         reset(connection)
 
     async def scenario(context):
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         context.server.signals["list applied"].set()
-        await wait_until(lambda: len(context.driver.updates) == 4)
+        await wait_until_async(lambda: len(context.driver.updates) == 4)
         assert context.driver.revisions == [40, 2, 3, 4] and context.watcher.revision == 4
 
     run_watcher(
@@ -475,7 +479,7 @@
 
 def test_change_with_an_older_revision_is_ignored():
     async def scenario(context):
-        await wait_until(lambda: len(context.driver.updates) == 2)
+        await wait_until_async(lambda: len(context.driver.updates) == 2)
         assert context.driver.revisions == [6, 7]
 
     run_watcher(
@@ -494,19 +498,19 @@
     new_server = ScriptedDiscovery(serve_watch(endpoint_list(2, "new")))
 
     def serve_late(server, connection):
-        server.signals["address changed"].wait(WAIT)
+        server.signals["address changed"].wait(TIMEOUT_SECONDS)
         with suppress(OSError):
             connection.sendall(HEAD + http_chunk(endpoint_list(9, "old")))
 
     async def scenario(context):
-        await wait_until(lambda: context.server.calls)
+        await wait_until_async(lambda: context.server.calls)
         context.watcher.change_address(new_server.address)
         context.server.signals["address changed"].set()
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
         await trio.sleep(0.1)
         assert context.driver.revisions == [2]
 
-    run_watcher(ScriptedDiscovery(serve_late), scenario, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(ScriptedDiscovery(serve_late), scenario, RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS)
     new_server.close()
 
 
@@ -516,11 +520,16 @@
     new_server = ScriptedDiscovery(reject_call, serve_watch(endpoint_list(2, "new")))
 
     async def scenario(context):
-        await wait_until(lambda: context.server.calls)
+        await wait_until_async(lambda: context.server.calls)
         context.watcher.change_address(new_server.address)
-        await wait_until(lambda: (2, ["new"]) in [entries for _, entries in context.driver.updates])
+        await wait_until_async(lambda: (2, ["new"]) in [entries for _, entries in context.driver.updates])
 
-    run_watcher(ScriptedDiscovery(old_script), scenario, MAX_BACKOFF_SECONDS=WAIT, RESPONSE_TIMEOUT_SECONDS=WAIT)
+    run_watcher(
+        ScriptedDiscovery(old_script),
+        scenario,
+        MAX_BACKOFF_SECONDS=TIMEOUT_SECONDS,
+        RESPONSE_TIMEOUT_SECONDS=TIMEOUT_SECONDS,
+    )
     new_server.close()
 
 
@@ -528,13 +537,16 @@
     new_server = ScriptedDiscovery(serve_watch(endpoint_list(2, "new")))
 
     async def scenario(context):
-        await wait_until(lambda: [name for name, _ in context.events if name == "discovery_call_failed"])
+        await wait_until_async(lambda: [name for name, _ in context.events if name == "discovery_call_failed"])
         await trio.testing.wait_all_tasks_blocked()
         context.watcher.change_address(new_server.address)
-        await wait_until(lambda: context.driver.updates)
+        await wait_until_async(lambda: context.driver.updates)
 
     run_watcher(
-        ScriptedDiscovery(reject_call), scenario, INITIAL_BACKOFF_SECONDS=3 * WAIT, MAX_BACKOFF_SECONDS=3 * WAIT
+        ScriptedDiscovery(reject_call),
+        scenario,
+        INITIAL_BACKOFF_SECONDS=3 * TIMEOUT_SECONDS,
+        MAX_BACKOFF_SECONDS=3 * TIMEOUT_SECONDS,
     )
     new_server.close()
 
@@ -565,11 +577,11 @@
     settings = {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
     program = Program(tmp_path, old_server.address, [server.target()], settings=settings)
     try:
-        until(lambda: len(old_server.calls) > 2, "calls")
+        wait_until(lambda: len(old_server.calls) > 2, "calls")
         program.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
-        until(lambda: new_server.calls, "a call at the new address")
+        wait_until(lambda: new_server.calls, "a call at the new address")
         program.process.send_signal(signal.SIGTERM)
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_SECONDS) == 0
         assert "internal_errors" not in program.events("counters_reported")[0]["counts"]
     finally:
         program.kill()
--- a/tests/test_events_by_stage.py
+++ b/tests/test_events_by_stage.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness, Gate
-from standins import WAIT, Runner, reset
+from standins import TIMEOUT_SECONDS, Runner, reset
 
 from aspensaddle.core.actions import CancelAttempt, StartAttempt
 from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
@@ -144,7 +144,7 @@
 
 def read_to_end(connection):
     """Read until the other side ends its sending; return True."""
-    connection.settimeout(WAIT)
+    connection.settimeout(TIMEOUT_SECONDS)
     while connection.recv(4096):
         pass
     return True
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from standins import ROOT, WAIT, Client, Runner, free_port, until
+from standins import ROOT, TIMEOUT_SECONDS, Client, Runner, free_port, wait_until
 
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.importer.converter import convert
@@ -145,7 +145,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=TIMEOUT_SECONDS,
     )
 
 
@@ -175,10 +175,10 @@
             return False
 
     try:
-        until(serves, "the imported configuration serves")
+        wait_until(serves, "the imported configuration serves")
     finally:
         program.kill()
-        program.wait(WAIT)
+        program.wait(TIMEOUT_SECONDS)
         server.close()
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -10,23 +10,25 @@
 from contextlib import suppress
 
 import pytest
-from standins import ROOT, SETTINGS, WAIT, until
+from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, wait_until
 
 
 def test_pushed_lists_are_watched_at_the_local_agent_and_again_after_it_fell_silent(world):
     """What the agent holds counts as known: without a watch, a server that is gone would get attempts forever."""
     deployment = world(settings={**SETTINGS, "discovery": "pushed"})
-    until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.change(deployment.runners[0].target(state="leaving"))
-    until(lambda: "draining" in str(deployment.program.events("endpoints_updated")), "the change")
+    wait_until(lambda: "draining" in str(deployment.program.events("endpoints_updated")), "the change")
     for number in range(4):
         with deployment.client() as client:
             assert client.open(f"c=test-run,d=2500,g={number}") == b"UP s-1\r\n"
     deployment.discovery.mute = True
-    until(lambda: deployment.program.events("discovery_call_failed"), "the silence timeout")
+    wait_until(lambda: deployment.program.events("discovery_call_failed"), "the silence timeout")
     deployment.discovery.mute = False
     deployment.discovery.change(deployment.runners[0].target(), deployment.runners[1].target(state="leaving"))
-    until(lambda: '["s-1", "draining"' in json.dumps(deployment.program.events("endpoints_updated")), "the change")
+    wait_until(
+        lambda: '["s-1", "draining"' in json.dumps(deployment.program.events("endpoints_updated")), "the change"
+    )
 
 
 SETTINGS_WITH_HEALTH_CHECKS = {
@@ -43,7 +45,7 @@
         b"PONG inflight=90,x0=0.84\r\n",
         b"PONG inflight=9,x0=0.10\r\n",
     )
-    until(lambda: deployment.program.counts().get("health_checks_ok", 0) >= 4, "health checks with load reports")
+    wait_until(lambda: deployment.program.counts().get("health_checks_ok", 0) >= 4, "health checks with load reports")
     # The health checks reuse their connection.
     assert deployment.runners[0].probes >= 2 and len(deployment.runners[0].connections) <= 2
     for number in range(3):  # each is closed once established
@@ -67,7 +69,7 @@
     deployment = world(settings=SETTINGS_WITH_HEALTH_CHECKS)
     for server in deployment.runners:
         server.report = report
-    until(lambda: deployment.program.counts().get("health_checks_started", 0) >= 4, "health checks")
+    wait_until(lambda: deployment.program.counts().get("health_checks_started", 0) >= 4, "health checks")
     with deployment.client() as client:
         assert client.open("c=test-run,t=,d=2500,g=5").startswith(b"UP s-")
     assert "internal_errors" not in deployment.program.counts()
@@ -87,7 +89,7 @@
     time_left, _, rest = tail.partition(b",")
     assert head.endswith(b" 7f3a9c21e0b4d655 c=draft-save,") and rest == b"g=5c0f6e1a2b3d4c59,x=1\r\n"
     assert 0 < int(time_left) < 2500  # the balancer waits for less time than the client
-    counts = until(
+    counts = wait_until(
         lambda: (current := deployment.program.counts()).get("connections_ended_ok") and current,
         "the end of the connection",
     )
@@ -137,7 +139,7 @@
         deployment.discovery.change(
             deployment.runners[0].target(endpoint=f"127.0.0.1:{full_listener.getsockname()[1]}")
         )
-        until(
+        wait_until(
             lambda: (
                 deployment.discovery.watches
                 and any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated"))
@@ -155,7 +157,7 @@
 def test_request_that_every_server_rejects_is_rejected_once_and_without_delay(world):
     deployment = world(b"BUSY\r\n")
     with deployment.client() as client:
-        client.sock.settimeout(WAIT)
+        client.sock.settimeout(TIMEOUT_SECONDS)
         response = client.open("c=test-run,d=100000")
         assert response.startswith(b"BUSY ") and 0 < int(response[5:]) <= 1000
         assert client.line() == b""
@@ -226,9 +228,9 @@
 
 def test_draining_server_gets_no_new_connections_until_it_is_ready_again(world):
     deployment = world()
-    until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.change(deployment.runners[0].target(state="leaving"))
-    until(
+    wait_until(
         lambda: any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated")), "the change"
     )
     for _ in range(6):
@@ -237,7 +239,7 @@
     deployment.discovery.change(
         deployment.runners[0].target(state="active"), deployment.runners[1].target(state="left")
     )
-    until(
+    wait_until(
         lambda: any(event["revision"] == 3 for event in deployment.program.events("endpoints_updated")),
         "the change back",
     )
@@ -248,9 +250,9 @@
 def test_watch_that_is_rejected_or_falls_silent_is_opened_again(world):
     deployment = world()
     deployment.discovery.refuse = 2
-    until(lambda: deployment.discovery.watches, "a watch after rejected calls")
+    wait_until(lambda: deployment.discovery.watches, "a watch after rejected calls")
     deployment.discovery.mute = True  # like a machine that has vanished
-    until(lambda: deployment.discovery.watches > 1, "a second watch")
+    wait_until(lambda: deployment.discovery.watches > 1, "a second watch")
 
 
 def test_adopted_connections_go_to_the_server_that_they_name(world):
@@ -269,13 +271,13 @@
     exit_statuses = []
     thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
     thread.start()
-    until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
     with deployment.client() as late_client:
         assert late_client.open().startswith(b"BUSY ")
     for client in established:
         assert client.line() == b"MOVE\r\n" and client.line() == b""
         client.close()
-    thread.join(WAIT)
+    thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
     (counters,) = deployment.program.events("counters_reported")  # logged at exit
     assert counters["counts"]["connections_migrated"] == 5
@@ -295,7 +297,7 @@
         with deployment.client() as client:
             return client.open().startswith(b"UP ")
 
-    until(accepts_a_request, "free descriptors")
+    wait_until(accepts_a_request, "free descriptors")
     counts = deployment.program.counts()
     assert "internal_errors" not in counts and "connects_failed_no_descriptors" not in counts
 
@@ -316,7 +318,7 @@
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=WAIT,
+            timeout=TIMEOUT_SECONDS,
             env={**os.environ, "ASPENSADDLE_QUIC": "/nowhere", **environ},
         )
         assert completed.returncode == 2 and completed.stdout == "" and completed.stderr.count("\n") == 1
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 import trio
-from standins import SETTINGS, WAIT, Client, Discovery, Program, Runner, until
+from standins import SETTINGS, TIMEOUT_SECONDS, Client, Discovery, Program, Runner, wait_until
 
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import ConfigSource
@@ -33,7 +33,7 @@
         self.program = Program(
             folder, self.old_discovery.address, [server.target() for server in self.servers], **config
         )
-        until(lambda: self.old_discovery.watches or self.old_discovery.refuse, "the first watch")
+        wait_until(lambda: self.old_discovery.watches or self.old_discovery.refuse, "the first watch")
 
     @property
     def new_address(self):
@@ -63,10 +63,10 @@
     with Client(deployment.program.address) as established:
         assert established.open().startswith(b"UP ")
         assert deployment.program.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
-        until(lambda: deployment.new_discovery.watches, "a watch at the new address")
+        wait_until(lambda: deployment.new_discovery.watches, "a watch at the new address")
         assert established.echo(b"M 1") == b"M 1\r\n"
         deployment.new_discovery.change(deployment.servers[0].target(state="leaving"))
-        until(
+        wait_until(
             lambda: any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated")),
             "an update from the new address",
         )
@@ -92,7 +92,7 @@
         assert event["event"] == "reload_rejected" and field in event["error"]
     (deployment.program.folder / "config.json").write_text("{")
     deployment.program.process.send_signal(signal.SIGHUP)
-    until(
+    wait_until(
         lambda: any("not JSON" in rejection["error"] for rejection in deployment.program.events("reload_rejected")),
         "the fifth rejected reload",
     )
@@ -108,7 +108,7 @@
     deployment.old_discovery.mute = True  # the old service keeps its watch open without heartbeats
     deployment.program.reload(discovery="127.0.0.1:9")  # no process listens at this address
     deployment.program.reload(discovery=deployment.new_address)
-    until(lambda: deployment.new_discovery.watches, "a watch at the last address")
+    wait_until(lambda: deployment.new_discovery.watches, "a watch at the last address")
     # The watch must not wait for a backoff, which a failure reported to the driver would have started.
     assert deployment.program.process.poll() is None
 
@@ -120,10 +120,10 @@
         exit_statuses = []
         thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
         thread.start()
-        until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+        wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
         deployment.program.reload(discovery=deployment.new_address)
         assert client.line() == b"MOVE\r\n"
-    thread.join(WAIT)
+    thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
 
 
@@ -182,7 +182,7 @@
         old_discovery, new_discovery = Discovery([]), Discovery([])
         new_discovery.refuse = 3
         driver, watcher = create_watcher(old_discovery.address)
-        with trio.fail_after(WAIT):
+        with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watcher.watch)
                 while not driver.scopes:
@@ -204,7 +204,7 @@
     async def main():
         discovery = Discovery([])
         driver, watcher = create_watcher(discovery.address)
-        with trio.fail_after(WAIT):
+        with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watcher.watch)
                 while not driver.scopes:
@@ -227,12 +227,12 @@
             program.log.write_bytes(b"")
             starting = threading.Thread(target=program.start)
             starting.start()
-            until(
+            wait_until(
                 lambda: program.process.poll() is None and blocks_or_handles_sighup(program.process.pid), "the start"
             )
             program.process.send_signal(signal.SIGHUP)
-            starting.join(WAIT)
-            until(lambda: program.events("config_reloaded"), "the reload")
+            starting.join(TIMEOUT_SECONDS)
+            wait_until(lambda: program.events("config_reloaded"), "the reload")
             assert program.process.poll() is None
     finally:
         program.kill()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 import trio
 from frontend_harness import FrontendHarness
 from helpers import SETTINGS as CORE_SETTINGS
-from standins import SETTINGS, WAIT, Client, Runner, until
+from standins import SETTINGS, TIMEOUT_SECONDS, Client, Runner, wait_until
 
 from aspensaddle.daemon.graceful_shutdown import (
     KILL_MARGIN_SECONDS,
@@ -57,7 +57,9 @@
     client = deployment.client()
     Client.count += 1
     client.send(f"OPEN {Client.count:016x} 7f3a9c21e0b4d655 {fields}\r\n".encode())
-    held = until(lambda: [server for server in deployment.runners if not server.offers.empty()], "the attempt")[0]
+    held = wait_until(lambda: [server for server in deployment.runners if not server.offers.empty()], "the attempt")[
+        0
+    ]
     return client, held.offered()[0]
 
 
@@ -87,7 +89,7 @@
     exit_statuses = []
     thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
     thread.start()
-    until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
     partial.send(b"st-run,d=900\r\n")
     responded_later_server.sendall(b"UP s-x\r\n")
     partly_responded_server.sendall(b"-x\r\n")
@@ -99,7 +101,7 @@
         assert client.rest() == b"MOVE\r\n"
     for client in (responded_later, partly_responded):
         assert client.rest() == b"UP s-x\r\nMOVE\r\n"
-    thread.join(WAIT)
+    thread.join(TIMEOUT_SECONDS)
     assert (
         exit_statuses == [0] and "internal_errors" not in deployment.program.events("counters_reported")[0]["counts"]
     )
@@ -116,7 +118,7 @@
     for client in established:
         assert client.rest() == b"MOVE\r\n"
         client.close()
-    thread.join(WAIT)
+    thread.join(TIMEOUT_SECONDS)
     assert deployment.program.process.returncode == 0
 
 
@@ -176,16 +178,19 @@
 
 def test_drain_and_reload_during_the_shutdown_do_not_delay_it(world):
     deployment = world()
-    until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watches, "a watch")
     client = deployment.client()
     assert client.open().startswith(b"UP ")
     deployment.program.process.send_signal(signal.SIGTERM)
-    until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
     deployment.drain(deployment.runners[0])
     deployment.program.process.send_signal(signal.SIGHUP)
     deployment.program.process.send_signal(signal.SIGTERM)
     assert client.rest() == b"MOVE\r\n"
-    assert deployment.program.process.wait(WAIT) == 0 and len(deployment.program.events("shutdown_started")) == 1
+    assert (
+        deployment.program.process.wait(TIMEOUT_SECONDS) == 0
+        and len(deployment.program.events("shutdown_started")) == 1
+    )
 
 
 def test_request_read_after_its_connection_was_evicted_starts_no_attempt(world):
@@ -198,7 +203,7 @@
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=900\r\n" % number)
         client.sock.shutdown(socket.SHUT_WR)
         assert client.rest() == b""
-    assert deployment.program.process.wait(WAIT) == 0
+    assert deployment.program.process.wait(TIMEOUT_SECONDS) == 0
     assert not any(server.first_lines for server in deployment.runners)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import ROOT, SETTINGS, WAIT, Client, Program, Runner, free_port, until
+from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, Client, Program, Runner, free_port, wait_until
 
 from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.store.messages import (
@@ -205,7 +205,7 @@
     completed = subprocess.run(
         [sys.executable, "-m", "aspensaddle.store", str(settings_file), *arguments],
         cwd=ROOT,
-        timeout=WAIT,
+        timeout=TIMEOUT_SECONDS,
         capture_output=True,
         text=True,
     )
@@ -238,19 +238,23 @@
             settings_file, "put", "config/settings", json.dumps({**SETTINGS, "lanes": request_classes})
         ) == (0, "")
         for balancer in balancers:
-            until(lambda current=balancer: serves(current), "the stored endpoint list is in use")
+            wait_until(lambda current=balancer: serves(current), "the stored endpoint list is in use")
         # Each restarts without data in turn and gets the entries back from the other.
         for balancer in balancers:
             balancer.kill()
             balancer.start()
-            until(lambda current=balancer: serves(current), "the stored endpoint list is in use after the restart")
+            wait_until(
+                lambda current=balancer: serves(current), "the stored endpoint list is in use after the restart"
+            )
             with Client(balancer.address) as client:
                 assert client.open("c=renamed,d=1000") == b"UP s-9\r\n"  # the stored settings are in force
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         for data in (b"", b"x" * 40, b"y" * 9000):
             sender.sendto(data, ("127.0.0.1", int(nodes["n0"].split(":")[1])))
         sender.close()
-        until(lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "invalid datagrams are counted")
+        wait_until(
+            lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "invalid datagrams are counted"
+        )
         assert run_store_command(settings_file, "get", "runner/s-9")[1].startswith("{")
         assert run_store_command(settings_file, "remove", "runner/s-9") == (0, "")
         assert run_store_command(settings_file, "get", "runner/s-9")[0] == 1
