--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,21 +1,21 @@
 import pytest
 from hypothesis import settings
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary  # noqa: F401 (hooks)
-from standins import World
+from standins import Deployment
 
 settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
 settings.load_profile("fixed")
 
 
 @pytest.fixture
-def world(tmp_path):
-    """Makes a `World`; two runners that serve, unless told otherwise."""
-    made = []
+def deploy(tmp_path):
+    """Return a function that makes a `Deployment`, by default with two servers that accept every request."""
+    deployments = []
 
-    def make(*answers, **config):
-        made.append(World(tmp_path, *(answers or (b"UP r\r\n", b"UP r\r\n")), **config))
-        return made[-1]
+    def make(*responses, **config):
+        deployments.append(Deployment(tmp_path, *(responses or (b"UP r\r\n", b"UP r\r\n")), **config))
+        return deployments[-1]
 
     yield make
-    for w in made:
-        w.close()
+    for deployment in deployments:
+        deployment.close()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -398,11 +398,11 @@
         self.close()
 
 
-class World:
-    """Discovery, runners and the program."""
+class Deployment:
+    """A balancer process, with stand-ins for discovery and for one server for each of the responses."""
 
-    def __init__(self, folder: Path, *answers: bytes, **config: Any) -> None:
-        self.runners = [Runner(f"s-{i}", a) for i, a in enumerate(answers)]
+    def __init__(self, folder: Path, *responses: bytes, **config: Any) -> None:
+        self.runners = [Runner(f"s-{i}", response) for i, response in enumerate(responses)]
         self.discovery = Discovery([r.target() for r in self.runners])
         self.program = Program(folder, self.discovery.address, [r.target() for r in self.runners], **config)
 
@@ -410,7 +410,7 @@
         return Client(self.program.address)
 
     def drain(self, runner: Runner) -> None:
-        """Tell that it drains, and wait until the program has heard it."""
+        """List the server as draining, and wait until the balancer has applied that."""
         wait_until(lambda: self.discovery.watches, "a watch")
         self.discovery.change(runner.target(state="leaving"))
         rev = self.discovery.rev
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -109,8 +109,8 @@
 
 
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
-def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(world, leave):
-    deployment = world()
+def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(deploy, leave):
+    deployment = deploy()
     deployment.program.process.send_signal(signal.SIGSTOP)
     for n in range(20):
         client = Client(deployment.program.address)
@@ -123,8 +123,8 @@
     assert sum(len(server.first_lines) for server in deployment.runners) == 1
 
 
-def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(world):
-    deployment = world()
+def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(deploy):
+    deployment = deploy()
     for server in deployment.runners:
         server.held = True
     with deployment.client() as client:
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def deploy_with_one_server(tmp_path):
     made = []
 
     def make(**config):
@@ -40,8 +40,8 @@
         (part.kill if isinstance(part, Program) else part.close)()
 
 
-def test_hundreds_of_silent_clients_do_not_keep_out_a_request(world):
-    deployment = world(limits={"sockets": 128})
+def test_hundreds_of_silent_clients_do_not_keep_out_a_request(deploy_with_one_server):
+    deployment = deploy_with_one_server(limits={"sockets": 128})
     silent = [deployment.client() for _ in range(300)]
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
@@ -59,9 +59,9 @@
     )
 
 
-def test_ping_does_not_restart_the_time_limit_of_the_first_line(world):
+def test_ping_does_not_restart_the_time_limit_of_the_first_line(deploy_with_one_server):
     """Otherwise a client could hold its connection for ever."""
-    deployment = world()
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         started_at = time.monotonic()
         responses = [client.echo(b"PING")]
@@ -75,16 +75,16 @@
         assert len(responses) < 16
 
 
-def test_more_than_16_pings_before_an_open_get_an_error(world):
-    deployment = world()
+def test_more_than_16_pings_before_an_open_get_an_error(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"PING\r\n" * 100)
         assert [client.line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
 
 
 @pytest.mark.parametrize("extra", [b"OPEN b k c=test-run,d=900\r\n" * 100, b"PING\r\n", b"z" * 5000])
-def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(world, extra):
-    deployment = world()
+def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(deploy_with_one_server, extra):
+    deployment = deploy_with_one_server()
     deployment.server.answer = b""  # the server is silent, so the attempt lasts until it is cancelled
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\n" + extra)
@@ -97,15 +97,15 @@
     assert "connections_established" not in deployment.program.counts()
 
 
-def test_line_sent_together_with_the_open_is_relayed_once_established(world):
-    deployment = world()
+def test_line_sent_together_with_the_open_is_relayed_once_established(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\nM 1\r\n")
         assert client.line() == b"UP s-0\r\n" and client.line() == b"M 1\r\n"
 
 
-def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(world):
-    deployment = world()
+def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as other_client:
         assert other_client.open().startswith(b"UP ")
         line = deployment.server.first_lines[0]
@@ -117,8 +117,8 @@
     assert len(deployment.server.first_lines) == 1
 
 
-def test_repeated_invalid_requests_do_not_fill_the_log_nor_delay_the_shutdown(world):
-    deployment = world()
+def test_repeated_invalid_requests_do_not_fill_the_log_nor_delay_the_shutdown(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     for _ in range(50):
         with deployment.client() as client:
             client.send(b"frob\r\n")
@@ -268,12 +268,14 @@
 @pytest.mark.parametrize("timing", ["at once", "late", "in pieces"])
 @pytest.mark.parametrize("idle", [0, 200])
 @pytest.mark.parametrize("count", [272, 500])
-def test_all_clients_that_reconnect_together_have_their_connections_adopted(world, count, idle, timing):
+def test_all_clients_that_reconnect_together_have_their_connections_adopted(
+    deploy_with_one_server, count, idle, timing
+):
     """Guards against the eviction of reconnecting clients.
 
     The documented limit is 384 descriptors beyond those of the open connections.
     """
-    deployment = world(limits={"sockets": 384 + 2 * count})
+    deployment = deploy_with_one_server(limits={"sockets": 384 + 2 * count})
     idle_before = [deployment.client() for _ in range(idle // 2)]
     clients = [deployment.client() for _ in range(count)]
     idle_after = [deployment.client() for _ in range(idle - idle // 2)]
@@ -298,9 +300,9 @@
 
 
 @pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"files": 928}], ids=str)
-def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(world, limit):
+def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(deploy_with_one_server, limit):
     """Idle clients hold every free descriptor and are evicted; the descriptor limit is never exceeded."""
-    deployment = world(**limit)
+    deployment = deploy_with_one_server(**limit)
     idle_clients = [deployment.client() for _ in range(1200)]
     clients = [deployment.client() for _ in range(272)]
     idle_clients += [deployment.client() for _ in range(100)]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,8 +37,8 @@
     [{"limits": {"sockets": 128}}, {"files": 128}, {"files": 128, "settings": HEALTH_CHECK_SETTINGS}],
     ids=str,
 )
-def test_process_at_its_descriptor_limit_switches_discovery_receives_a_drain_and_shuts_down(world, limit):
-    deployment = world(**limit)
+def test_process_at_its_descriptor_limit_switches_discovery_receives_a_drain_and_shuts_down(deploy, limit):
+    deployment = deploy(**limit)
     for server in deployment.runners:
         server.report = b"PONG inflight=1,x0=0.01\r\n"
     wait_until(lambda: deployment.discovery.watches, "a watch")
@@ -73,9 +73,9 @@
         new_discovery.close()
 
 
-def test_silent_clients_beyond_the_descriptor_limit_do_not_prevent_a_discovery_call(world):
+def test_silent_clients_beyond_the_descriptor_limit_do_not_prevent_a_discovery_call(deploy):
     """They connect while discovery is down and stay connected."""
-    deployment = world(files=96)
+    deployment = deploy(files=96)
     wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.close()
     wait_until(lambda: len(deployment.program.events("discovery_call_failed")) > 1, "failed calls")
@@ -93,9 +93,9 @@
     assert "accepts_failed_emfile" not in deployment.program.counts()
 
 
-def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(world):
+def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(deploy):
     """An idle process holds the listener, the watch, the event loop, signals and the standard streams."""
-    deployment = world()
+    deployment = deploy()
     wait_until(lambda: deployment.discovery.watches, "a watch")
     wait_until(
         lambda: deployment.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process"
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -554,7 +554,7 @@
 # ------------------------------------------------------------ the program
 
 
-def test_program_applies_indented_lists_and_a_drain_in_one(world, monkeypatch):
+def test_program_applies_indented_lists_and_a_drain_in_one(deploy, monkeypatch):
     monkeypatch.setattr(
         Discovery,
         "_update",
@@ -562,7 +562,7 @@
             json.dumps({"rev": discovery.rev, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
         ),
     )
-    deployment = world()
+    deployment = deploy()
     deployment.drain(deployment.runners[0])
     for _ in range(4):
         with deployment.client() as client:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,9 +13,9 @@
 from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, wait_until
 
 
-def test_pushed_lists_are_watched_at_the_local_agent_and_again_after_it_fell_silent(world):
+def test_pushed_lists_are_watched_at_the_local_agent_and_again_after_it_fell_silent(deploy):
     """What the agent holds counts as known: without a watch, a server that is gone would get attempts forever."""
-    deployment = world(settings={**SETTINGS, "discovery": "pushed"})
+    deployment = deploy(settings={**SETTINGS, "discovery": "pushed"})
     wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.change(deployment.runners[0].target(state="leaving"))
     wait_until(lambda: "draining" in str(deployment.program.events("endpoints_updated")), "the change")
@@ -39,8 +39,8 @@
 }
 
 
-def test_servers_that_health_checks_report_as_loaded_by_others_get_no_attempts(world):
-    deployment = world(settings=SETTINGS_WITH_HEALTH_CHECKS)
+def test_servers_that_health_checks_report_as_loaded_by_others_get_no_attempts(deploy):
+    deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
     deployment.runners[0].report, deployment.runners[1].report = (
         b"PONG inflight=90,x0=0.84\r\n",
         b"PONG inflight=9,x0=0.10\r\n",
@@ -65,8 +65,8 @@
         b"PONG inflight=9,x0=0.1\r\n" * 2,
     ],
 )
-def test_health_check_responses_that_are_invalid_partial_repeated_or_missing_do_not_affect_requests(world, report):
-    deployment = world(settings=SETTINGS_WITH_HEALTH_CHECKS)
+def test_health_check_responses_that_are_invalid_partial_repeated_or_missing_do_not_affect_requests(deploy, report):
+    deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
     for server in deployment.runners:
         server.report = report
     wait_until(lambda: deployment.program.counts().get("health_checks_started", 0) >= 4, "health checks")
@@ -75,8 +75,8 @@
     assert "internal_errors" not in deployment.program.counts()
 
 
-def test_connection_relays_lines_from_open_to_bye(world):
-    deployment = world(b"UP r\r\nLOAD 1500.5\r\n")
+def test_connection_relays_lines_from_open_to_bye(deploy):
+    deployment = deploy(b"UP r\r\nLOAD 1500.5\r\n")
     with deployment.client() as client:
         assert client.open("c=draft-save,d=2500,g=5c0f6e1a2b3d4c59,x=1") == b"UP s-0\r\n"
         assert client.line() == b"LOAD 1500.5\r\n"  # read by the balancer and still passed on
@@ -108,8 +108,8 @@
         (b"LOAD 5\r\nBUSY\r\n", "rejected"),
     ],
 )
-def test_failed_attempt_is_counted_by_its_outcome_and_retried_on_another_server(world, response, outcome):
-    deployment = world(response, b"UP r\r\n")
+def test_failed_attempt_is_counted_by_its_outcome_and_retried_on_another_server(deploy, response, outcome):
+    deployment = deploy(response, b"UP r\r\n")
     for _ in range(4):
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
@@ -118,8 +118,8 @@
     assert counts["attempts_started"] == counts["attempts_established"] + counts[f"attempts_{outcome}"]
 
 
-def test_unreachable_server_is_replaced_by_another(world):
-    deployment = world()
+def test_unreachable_server_is_replaced_by_another(deploy):
+    deployment = deploy()
     deployment.runners[0].close()
     for _ in range(4):
         with deployment.client() as client:
@@ -127,8 +127,8 @@
     assert deployment.program.counts()["attempts_unreachable"] >= 1
 
 
-def test_connection_that_is_never_established_fails_at_the_connect_timeout(world):
-    deployment = world()
+def test_connection_that_is_never_established_fails_at_the_connect_timeout(deploy):
+    deployment = deploy()
     deployment.runners[0].close()
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
         # A full accept queue drops connection attempts, as a machine that has vanished would.
@@ -154,8 +154,8 @@
             connection.close()
 
 
-def test_request_that_every_server_rejects_is_rejected_once_and_without_delay(world):
-    deployment = world(b"BUSY\r\n")
+def test_request_that_every_server_rejects_is_rejected_once_and_without_delay(deploy):
+    deployment = deploy(b"BUSY\r\n")
     with deployment.client() as client:
         client.sock.settimeout(TIMEOUT_SECONDS)
         response = client.open("c=test-run,d=100000")
@@ -166,8 +166,8 @@
     assert deployment.program.events("request")[0]["reject_reason"] == "attempts_exhausted"
 
 
-def test_attempt_on_a_silent_server_times_out_before_the_client_does(world):
-    deployment = world(b"")
+def test_attempt_on_a_silent_server_times_out_before_the_client_does(deploy):
+    deployment = deploy(b"")
     with deployment.client() as client:
         start = time.monotonic()
         assert client.open("c=test-run,d=600").startswith(b"BUSY ")
@@ -187,8 +187,8 @@
         b"y" * 5000,
     ],
 )
-def test_invalid_line_gets_err_and_does_not_affect_other_connections(world, line):
-    deployment = world()
+def test_invalid_line_gets_err_and_does_not_affect_other_connections(deploy, line):
+    deployment = deploy()
     with deployment.client() as invalid, deployment.client() as valid:
         invalid.send(line)
         assert invalid.line() == b"ERR\r\n"
@@ -196,8 +196,8 @@
     assert "internal_errors" not in deployment.program.counts()
 
 
-def test_half_close_is_passed_on_and_lines_still_return(world):
-    deployment = world(b"UP r\r\n")
+def test_half_close_is_passed_on_and_lines_still_return(deploy):
+    deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
         client.send(b"last words\r\n")
@@ -206,8 +206,8 @@
         assert client.line() == b""
 
 
-def test_connections_end_when_their_server_dies(world):
-    deployment = world(b"UP r\r\n")
+def test_connections_end_when_their_server_dies(deploy):
+    deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
         deployment.runners[0].close()
@@ -215,8 +215,8 @@
             assert client.line() == b""
 
 
-def test_client_of_a_server_that_returns_no_lines_is_migrated(world):
-    deployment = world(b"UP r\r\n")
+def test_client_of_a_server_that_returns_no_lines_is_migrated(deploy):
+    deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
         deployment.runners[0].mute = True
@@ -226,8 +226,8 @@
         assert time.monotonic() - start > 2
 
 
-def test_draining_server_gets_no_new_connections_until_it_is_ready_again(world):
-    deployment = world()
+def test_draining_server_gets_no_new_connections_until_it_is_ready_again(deploy):
+    deployment = deploy()
     wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.change(deployment.runners[0].target(state="leaving"))
     wait_until(
@@ -247,24 +247,24 @@
         assert client.open() == b"UP s-0\r\n"
 
 
-def test_watch_that_is_rejected_or_falls_silent_is_opened_again(world):
-    deployment = world()
+def test_watch_that_is_rejected_or_falls_silent_is_opened_again(deploy):
+    deployment = deploy()
     deployment.discovery.refuse = 2
     wait_until(lambda: deployment.discovery.watches, "a watch after rejected calls")
     deployment.discovery.mute = True  # like a machine that has vanished
     wait_until(lambda: deployment.discovery.watches > 1, "a second watch")
 
 
-def test_adopted_connections_go_to_the_server_that_they_name(world):
-    deployment = world()
+def test_adopted_connections_go_to_the_server_that_they_name(deploy):
+    deployment = deploy()
     for _ in range(3):
         with deployment.client() as client:
             assert client.open("c=test-run,d=1000,at=s-1") == b"UP s-1\r\n"
     assert deployment.program.counts()["connections_established"] == 3
 
 
-def test_shutdown_migrates_all_connections_and_rejects_new_requests(world):
-    deployment = world()
+def test_shutdown_migrates_all_connections_and_rejects_new_requests(deploy):
+    deployment = deploy()
     established = [deployment.client() for _ in range(5)]
     for client in established:
         assert client.open().startswith(b"UP ")
@@ -284,8 +284,8 @@
 
 
 @pytest.mark.parametrize("limit", [{"limits": {"sockets": 80}}, {"files": 80}])
-def test_requests_beyond_the_descriptor_limit_are_rejected_until_connections_close(world, limit):
-    deployment = world(**limit)
+def test_requests_beyond_the_descriptor_limit_are_rejected_until_connections_close(deploy, limit):
+    deployment = deploy(**limit)
     clients = [deployment.client() for _ in range(45)]
     responses = [client.open() for client in clients]
     # Some requests are rejected, but each gets a response.
@@ -302,8 +302,8 @@
     assert "internal_errors" not in counts and "connects_failed_no_descriptors" not in counts
 
 
-def test_connections_beyond_the_descriptor_limit_wait_in_the_accept_queue(world):
-    deployment = world(files=64)
+def test_connections_beyond_the_descriptor_limit_wait_in_the_accept_queue(deploy):
+    deployment = deploy(files=64)
     idle_clients = [deployment.client() for _ in range(100)]  # without a request, so they get no response
     for client in idle_clients:
         client.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -22,8 +22,8 @@
     return {**copy.deepcopy(SETTINGS), **changes}
 
 
-class Deployment:
-    """Two discovery services that list the same servers, and a program configured with the first of them."""
+class TwoDiscoveryDeployment:
+    """Two discovery services that list the same servers, and a balancer configured with the first of them."""
 
     def __init__(self, folder, **config):
         self.servers = [Runner("s-0"), Runner("s-1")]
@@ -46,11 +46,11 @@
 
 
 @pytest.fixture
-def deploy(tmp_path):
+def deploy_with_two_discoveries(tmp_path):
     deployments = []
 
     def make(**config):
-        deployments.append(Deployment(tmp_path, **config))
+        deployments.append(TwoDiscoveryDeployment(tmp_path, **config))
         return deployments[-1]
 
     yield make
@@ -58,8 +58,8 @@
         deployment.close()
 
 
-def test_change_of_the_discovery_address_keeps_established_connections(deploy):
-    deployment = deploy()
+def test_change_of_the_discovery_address_keeps_established_connections(deploy_with_two_discoveries):
+    deployment = deploy_with_two_discoveries()
     with Client(deployment.program.address) as established:
         assert established.open().startswith(b"UP ")
         assert deployment.program.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
@@ -79,8 +79,10 @@
     assert counts["connections_established"] == 5 and counts["reloads_requested"] == 1
 
 
-def test_invalid_file_is_rejected_with_its_field_and_the_old_configuration_stays_in_force(deploy):
-    deployment = deploy()
+def test_invalid_file_is_rejected_with_its_field_and_the_old_configuration_stays_in_force(
+    deploy_with_two_discoveries,
+):
+    deployment = deploy_with_two_discoveries()
     valid_config = dict(deployment.program.body)
     for change, field in (
         ({"discovery": "nowhere"}, "discovery"),
@@ -103,8 +105,8 @@
     assert deployment.program.counts()["reloads_rejected"] == 5
 
 
-def test_discovery_address_changes_while_a_call_is_in_flight_and_a_second_reload_follows(deploy):
-    deployment = deploy()
+def test_discovery_address_changes_while_a_call_is_in_flight_and_a_second_reload_follows(deploy_with_two_discoveries):
+    deployment = deploy_with_two_discoveries()
     deployment.old_discovery.mute = True  # the old service keeps its watch open without heartbeats
     deployment.program.reload(discovery="127.0.0.1:9")  # no process listens at this address
     deployment.program.reload(discovery=deployment.new_address)
@@ -113,8 +115,8 @@
     assert deployment.program.process.poll() is None
 
 
-def test_discovery_address_changes_during_the_shutdown(deploy):
-    deployment = deploy()
+def test_discovery_address_changes_during_the_shutdown(deploy_with_two_discoveries):
+    deployment = deploy_with_two_discoveries()
     with Client(deployment.program.address) as client:
         assert client.open().startswith(b"UP ")
         exit_statuses = []
@@ -127,8 +129,8 @@
     assert exit_statuses == [0]
 
 
-def test_settings_and_limits_are_replaced_and_fields_that_need_a_restart_are_named(deploy):
-    deployment = deploy()
+def test_settings_and_limits_are_replaced_and_fields_that_need_a_restart_are_named(deploy_with_two_discoveries):
+    deployment = deploy_with_two_discoveries()
     request_classes = [*copy.deepcopy(SETTINGS["lanes"]), {"name": "new", "aim": 0.3, "deadline": 3.0}]
     with Client(deployment.program.address) as client:
         assert client.open("c=new,d=3000") == b"ERR\r\n"
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("deadline", [0.9, 3.0])
-def test_sigterm_in_any_stage_of_a_request_leads_to_a_complete_response(world, deadline):
-    deployment = world(settings={**SETTINGS, "lanes": classes_with_deadline(deadline)})
+def test_sigterm_in_any_stage_of_a_request_leads_to_a_complete_response(deploy, deadline):
+    deployment = deploy(settings={**SETTINGS, "lanes": classes_with_deadline(deadline)})
     for server in deployment.runners:
         server.held = True
     idle, partial = deployment.client(), deployment.client()
@@ -107,8 +107,8 @@
     )
 
 
-def test_hundreds_of_established_connections_are_all_migrated(world):
-    deployment = world(limits={"sockets": 1024})
+def test_hundreds_of_established_connections_are_all_migrated(deploy):
+    deployment = deploy(limits={"sockets": 1024})
     established = []
     for _ in range(200):
         established.append(deployment.client())
@@ -151,9 +151,9 @@
 }
 
 
-def test_response_at_the_answer_deadline_depends_on_whether_a_retry_is_safe(world):
+def test_response_at_the_answer_deadline_depends_on_whether_a_retry_is_safe(deploy):
     """The deadlines of the requests are later than the time at which the process is killed."""
-    deployment = world(
+    deployment = deploy(
         settings={
             **SETTINGS,
             "lanes": [
@@ -176,8 +176,8 @@
     )
 
 
-def test_drain_and_reload_during_the_shutdown_do_not_delay_it(world):
-    deployment = world()
+def test_drain_and_reload_during_the_shutdown_do_not_delay_it(deploy):
+    deployment = deploy()
     wait_until(lambda: deployment.discovery.watches, "a watch")
     client = deployment.client()
     assert client.open().startswith(b"UP ")
@@ -193,9 +193,9 @@
     )
 
 
-def test_request_read_after_its_connection_was_evicted_starts_no_attempt(world):
+def test_request_read_after_its_connection_was_evicted_starts_no_attempt(deploy):
     """Some clients are idle until the balancer evicts them, and send a request at that moment."""
-    deployment = world()
+    deployment = deploy()
     idle_clients = [deployment.client() for _ in range(10)]
     deployment.program.process.send_signal(signal.SIGTERM)
     for number, client in enumerate(idle_clients):
