--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import trio
-from standins import SETTINGS, TIMEOUT_SECONDS, Runner
+from standins import SETTINGS, TIMEOUT_SECONDS, StubServer
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
@@ -98,7 +98,7 @@
 
     def __init__(
         self,
-        servers: list[Runner],
+        servers: list[StubServer],
         sockets: int = 512,
         request_classes: list[dict[str, Any]] | None = None,
         targets: list[dict[str, Any]] | None = None,
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from .harness import Harness
-    from .processes import BalancerProcess
+    from .processes import SoakBalancer
     from .servers import SoakServer
 
 MIN_ABSENCE_SECONDS = 1.0  # shortest time for which a server stays out of the endpoint list
@@ -37,7 +37,7 @@
             _apply_to_balancer(harness, balancer, step.action)
 
 
-def _apply_to_balancer(harness: Harness, balancer: BalancerProcess, action: str) -> None:
+def _apply_to_balancer(harness: Harness, balancer: SoakBalancer, action: str) -> None:
     if action == "reload_twice":
         balancer.reload_twice()
         return
--- a/tests/soak/harness.py
+++ b/tests/soak/harness.py
@@ -13,7 +13,7 @@
 
 from .clients import BalancerPool, IdleClients, SoakClient
 from .faults import apply_step
-from .processes import BalancerProcess
+from .processes import SoakBalancer
 from .record import ProcessMeasured, Record
 from .schedule import Schedule
 from .servers import BalancerDiscovery, DiscoveryState, SoakServer
@@ -54,7 +54,7 @@
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.deployment.sockets},
                 "known": endpoint_list,
             }
-            self.balancers.append(BalancerProcess(folder, config, self))
+            self.balancers.append(SoakBalancer(folder, config, self))
         self.threads: list[threading.Thread] = []
         self._process_numbers = itertools.count(1)
 
@@ -69,7 +69,7 @@
         self.threads.append(thread)
         return thread
 
-    def start_adoptions(self, balancer: BalancerProcess) -> None:
+    def start_adoptions(self, balancer: SoakBalancer) -> None:
         """Reconnect clients to a process that has just started; each names the server of its former connection."""
         target = balancer.target
         if target is None:
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from standins import Program
+from standins import BalancerProcess
 
 from .clients import Target
 from .record import ProcessExited, ProcessReady, ProcessStarted, SignalSent
@@ -24,7 +24,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class BalancerProcess(Program):
+class SoakBalancer(BalancerProcess):
     """Runs the program as the platform does, and records its signals, starts and exits."""
 
     def __init__(self, folder: Path, config: dict[str, Any], harness: Harness) -> None:
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -9,7 +9,7 @@
 from io import BufferedReader
 from typing import Any
 
-from standins import Discovery, Runner, reset
+from standins import StubDiscovery, StubServer, reset
 
 from .record import (
     AttemptHandled,
@@ -51,7 +51,7 @@
     return float(milliseconds) / 1000
 
 
-class SoakServer(Runner):
+class SoakServer(StubServer):
     """A server with faults. A fault affects connections accepted during it; a hang affects established ones too."""
 
     def __init__(self, uid: str, zone: str, record: Record) -> None:
@@ -154,7 +154,7 @@
         return super().target(az=self.zone, state=self.state, boot_ms=self.started_ms, **more)
 
 
-class BalancerDiscovery(Discovery):
+class BalancerDiscovery(StubDiscovery):
     """The discovery service as one balancer reaches it."""
 
     def __init__(self, balancer: str, registry: DiscoveryState) -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -57,7 +57,7 @@
     return value
 
 
-class Server:
+class ThreadedServer:
     """Accepts connections and serves each in a thread."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
     connection.close()
 
 
-class Runner(Server):
+class StubServer(ThreadedServer):
     """Answers a first line and returns every other. `answer` may be changed between connections.
 
     With `held` set, what comes after a first line is the test's: the connection is handed out by `offered`.
@@ -167,7 +167,7 @@
         }
 
 
-class Discovery(Server):
+class StubDiscovery(ThreadedServer):
     """The whole list, and watches that get every change made by `change`."""
 
     def __init__(self, targets: list[dict[str, Any]]) -> None:
@@ -227,7 +227,7 @@
     """Another process on this machine got the port between its choice and the start."""
 
 
-class Program:
+class BalancerProcess:
     """The balancer as a process."""
 
     def __init__(
@@ -402,21 +402,23 @@
     """A balancer process, with stand-ins for discovery and for one server for each of the responses."""
 
     def __init__(self, folder: Path, *responses: bytes, **config: Any) -> None:
-        self.runners = [Runner(f"s-{i}", response) for i, response in enumerate(responses)]
-        self.discovery = Discovery([r.target() for r in self.runners])
-        self.program = Program(folder, self.discovery.address, [r.target() for r in self.runners], **config)
+        self.servers = [StubServer(f"s-{i}", response) for i, response in enumerate(responses)]
+        self.discovery = StubDiscovery([server.target() for server in self.servers])
+        self.balancer = BalancerProcess(
+            folder, self.discovery.address, [server.target() for server in self.servers], **config
+        )
 
     def client(self) -> Client:
-        return Client(self.program.address)
+        return Client(self.balancer.address)
 
-    def drain(self, runner: Runner) -> None:
+    def drain(self, server: StubServer) -> None:
         """List the server as draining, and wait until the balancer has applied that."""
         wait_until(lambda: self.discovery.watches, "a watch")
-        self.discovery.change(runner.target(state="leaving"))
+        self.discovery.change(server.target(state="leaving"))
         rev = self.discovery.rev
-        wait_until(lambda: any(e["revision"] == rev for e in self.program.events("endpoints_updated")), "the drain")
+        wait_until(lambda: any(e["revision"] == rev for e in self.balancer.events("endpoints_updated")), "the drain")
 
     def close(self) -> None:
-        self.program.kill()
-        for s in (self.discovery, *self.runners):
+        self.balancer.kill()
+        for s in (self.discovery, *self.servers):
             s.close()
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 from frontend_harness import REQUEST_CLASS, FrontendHarness
-from standins import Runner, reset
+from standins import StubServer, reset
 
 from aspensaddle.frontends.line_protocol import connection_adopter
 
@@ -29,7 +29,7 @@
 
 def test_server_that_rejects_at_first_is_retried_until_the_connection_is_established():
     """Guards against entering a cancel scope a second time, which prevented every second attempt of an adoption."""
-    server = Runner("s-0", b"BUSY 100\r\n")
+    server = StubServer("s-0", b"BUSY 100\r\n")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -44,7 +44,7 @@
 
 
 def test_reset_attempt_is_retried_if_the_class_allows_it():
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(("repeat", "expected_attempts"), [("side_effect", 1), ("pure", 6)])
 def test_server_that_always_fails_is_tried_as_often_as_class_and_limits_allow(repeat, expected_attempts, monkeypatch):
     monkeypatch.setattr(connection_adopter, "INITIAL_BACKOFF_SECONDS", 0.05)
-    server = Runner("s-0", b"ERR\r\n")
+    server = StubServer("s-0", b"ERR\r\n")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -78,7 +78,7 @@
 
 def test_silent_server_is_retried_after_the_attempt_timeout(monkeypatch):
     monkeypatch.setattr(connection_adopter, "ATTEMPT_TIMEOUT_SECONDS", 0.3)
-    server = Runner("s-0", b"")
+    server = StubServer("s-0", b"")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -93,7 +93,7 @@
 
 
 def test_adoption_waits_for_an_endpoint_list_that_arrives_after_the_client():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt"])
 def test_server_that_drains_or_leaves_the_list_gets_no_further_attempt(state, adoption_stage):
-    server = Runner("s-0", b"BUSY\r\n" if adoption_stage == "pause" else b"")
+    server = StubServer("s-0", b"BUSY\r\n" if adoption_stage == "pause" else b"")
     server.held = adoption_stage == "attempt"
 
     async def script(harness):
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("departure", ["close", "reset"])
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt", "unlisted"])
 def test_client_that_disconnects_ends_its_adoption(departure, adoption_stage):
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
     server.held = adoption_stage == "attempt"
     targets = [{**server.target(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
@@ -155,7 +155,7 @@
 
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt", "unlisted"])
 def test_shutdown_ends_an_adoption_at_once_with_busy(adoption_stage):
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
     server.held = adoption_stage == "attempt"
     targets = [{**server.target(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
@@ -177,7 +177,7 @@
 
 def test_second_adoption_under_the_same_id_gets_an_error():
     """Guards against two adoptions under one id, where the one that ended last failed with a KeyError."""
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -193,7 +193,7 @@
 
 
 def test_response_of_a_server_that_serves_at_once_is_passed_on():
-    server = Runner("s-0", b"BYE\r\n")
+    server = StubServer("s-0", b"BYE\r\n")
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -6,14 +6,14 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness, Gate
-from standins import Client, Runner, wait_until
+from standins import Client, StubServer, wait_until
 
 
 @pytest.mark.parametrize("departure", ["ends", "resets"])
 @pytest.mark.parametrize("clients_ahead", [0, 40])
 def test_client_that_left_before_its_accept_causes_no_attempt(departure, clients_ahead):
     """Its OPEN and its end have both arrived before the first read; other clients are ahead in the accept queue."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("departure", ["ends", "resets"])
 def test_client_that_left_during_the_first_attempt_causes_no_second_one(departure):
     """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -69,7 +69,7 @@
 
 
 def test_client_that_sends_a_command_before_its_response_gets_an_error_and_no_further_attempt():
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -91,7 +91,7 @@
 
 
 def test_client_that_left_during_its_adoption_causes_no_attempt():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         gate = Gate()
@@ -111,29 +111,29 @@
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
 def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(deploy, leave):
     deployment = deploy()
-    deployment.program.process.send_signal(signal.SIGSTOP)
+    deployment.balancer.process.send_signal(signal.SIGSTOP)
     for n in range(20):
-        client = Client(deployment.program.address)
+        client = Client(deployment.balancer.address)
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000\r\n" % n)
         leave(client)
-    deployment.program.process.send_signal(signal.SIGCONT)
-    wait_until(lambda: deployment.program.counts().get("connections", 0) >= 21, "the connections")
+    deployment.balancer.process.send_signal(signal.SIGCONT)
+    wait_until(lambda: deployment.balancer.counts().get("connections", 0) >= 21, "the connections")
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
-    assert sum(len(server.first_lines) for server in deployment.runners) == 1
+    assert sum(len(server.first_lines) for server in deployment.servers) == 1
 
 
 def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(deploy):
     deployment = deploy()
-    for server in deployment.runners:
+    for server in deployment.servers:
         server.held = True
     with deployment.client() as client:
         client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
         attempted_server = wait_until(
-            lambda: [server for server in deployment.runners if server.first_lines], "the attempt"
+            lambda: [server for server in deployment.servers if server.first_lines], "the attempt"
         )[0]
         connection, _ = attempted_server.offered()
         client.sock.shutdown(socket.SHUT_WR)
         assert connection.recv(100) == b""  # the attempt is cancelled
         assert client.rest() == b""
-    assert sum(len(server.first_lines) for server in deployment.runners) == 1
+    assert sum(len(server.first_lines) for server in deployment.servers) == 1
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness
-from standins import TIMEOUT_SECONDS, Client, Discovery, Program, Runner, wait_until
+from standins import TIMEOUT_SECONDS, BalancerProcess, Client, StubDiscovery, StubServer, wait_until
 
 from aspensaddle.frontends.line_protocol.connection_slots import (
     MIN_STAGE_SHARE,
@@ -30,14 +30,14 @@
     made = []
 
     def make(**config):
-        server = Runner("s-0")
-        discovery = Discovery([server.target()])
-        made.extend((server, discovery, Program(tmp_path, discovery.address, [server.target()], **config)))
-        return SimpleNamespace(server=server, program=made[-1], client=lambda: Client(made[-1].address))
+        server = StubServer("s-0")
+        discovery = StubDiscovery([server.target()])
+        made.extend((server, discovery, BalancerProcess(tmp_path, discovery.address, [server.target()], **config)))
+        return SimpleNamespace(server=server, balancer=made[-1], client=lambda: Client(made[-1].address))
 
     yield make
     for part in reversed(made):
-        (part.kill if isinstance(part, Program) else part.close)()
+        (part.kill if isinstance(part, BalancerProcess) else part.close)()
 
 
 def test_hundreds_of_silent_clients_do_not_keep_out_a_request(deploy_with_one_server):
@@ -51,7 +51,7 @@
     assert all(client.line() == b"" for client in silent)
     for client in silent:
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert (
         counts["connections_evicted"] >= 200
         and "internal_errors" not in counts
@@ -94,7 +94,7 @@
         wait_until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
         client.send(extra)
         assert client.line() == b"ERR\r\n"
-    assert "connections_established" not in deployment.program.counts()
+    assert "connections_established" not in deployment.balancer.counts()
 
 
 def test_line_sent_together_with_the_open_is_relayed_once_established(deploy_with_one_server):
@@ -123,10 +123,10 @@
         with deployment.client() as client:
             client.send(b"frob\r\n")
             assert client.line() == b"ERR\r\n"
-    assert deployment.program.counts()["invalid_requests"] == 50
-    assert len(deployment.program.events("invalid_request")) < 25
+    assert deployment.balancer.counts()["invalid_requests"] == 50
+    assert len(deployment.balancer.events("invalid_request")) < 25
     silent = deployment.client()
-    assert deployment.program.terminate() == 0
+    assert deployment.balancer.terminate() == 0
     silent.close()
 
 
@@ -223,7 +223,7 @@
 
 def test_eviction_of_a_connection_whose_bytes_have_arrived_is_revoked():
     """Guards against a BUSY for a client whose line was in the kernel when its connection was evicted."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         complete, partial, silent = [await harness.connect() for _ in range(3)]
@@ -283,7 +283,7 @@
     responses = Counter(client.line() for client in clients)
     for client in (*clients, *idle_before, *idle_after):
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert responses == {b"UP s-0\r\n": count}, (responses, counts)
     assert "connections_evicted" not in counts and counts["adoptions_established"] == count
 
@@ -308,10 +308,10 @@
     idle_clients += [deployment.client() for _ in range(100)]
     send_open_lines(clients, "at once")
     responses = Counter(client.line() for client in clients)
-    descriptors_in_use = deployment.program.descriptors()
+    descriptors_in_use = deployment.balancer.descriptors()
     for client in (*clients, *idle_clients):
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert responses == {b"UP s-0\r\n": 272}, (responses, counts)
     assert (
         descriptors_in_use <= 928 and counts["connections_evicted"] and "connects_failed_no_descriptors" not in counts
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from standins import SETTINGS, TIMEOUT_SECONDS, Discovery, wait_until
+from standins import SETTINGS, TIMEOUT_SECONDS, StubDiscovery, wait_until
 
 from aspensaddle.frontends.line_protocol.connection_slots import ACCEPT_BATCH, RESERVED_DESCRIPTORS
 from aspensaddle.frontends.line_protocol.health_checker import MAX_HEALTH_CHECK_CONNECTIONS
@@ -39,25 +39,25 @@
 )
 def test_process_at_its_descriptor_limit_switches_discovery_receives_a_drain_and_shuts_down(deploy, limit):
     deployment = deploy(**limit)
-    for server in deployment.runners:
+    for server in deployment.servers:
         server.report = b"PONG inflight=1,x0=0.01\r\n"
     wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.close()  # discovery is down: calls fail
-    wait_until(lambda: deployment.program.events("discovery_call_failed"), "a failed call")
+    wait_until(lambda: deployment.balancer.events("discovery_call_failed"), "a failed call")
     established, silent = fill_with_clients(deployment, 128)
     # With health checks, the reports of the servers show them as full earlier.
     assert len(established) >= (5 if "settings" in limit else 30)
-    descriptor_counts = [deployment.program.descriptors()]
-    new_discovery = Discovery([server.target() for server in deployment.runners])
+    descriptor_counts = [deployment.balancer.descriptors()]
+    new_discovery = StubDiscovery([server.target() for server in deployment.servers])
     try:
-        deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
+        deployment.balancer.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
         wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
-        descriptor_counts.append(deployment.program.descriptors())
+        descriptor_counts.append(deployment.balancer.descriptors())
         deployment.discovery = new_discovery
-        deployment.drain(deployment.runners[0])
+        deployment.drain(deployment.servers[0])
         assert established[0].echo(b"M 1") == b"M 1\r\n"
         exit_codes = []
-        thread = threading.Thread(target=lambda: exit_codes.append(deployment.program.terminate()))
+        thread = threading.Thread(target=lambda: exit_codes.append(deployment.balancer.terminate()))
         thread.start()
         for client in established:
             assert client.rest() == b"MOVE\r\n"
@@ -67,7 +67,7 @@
             client.close()
         thread.join(TIMEOUT_SECONDS)
         assert exit_codes == [0] and max(descriptor_counts) <= 128
-        counts = deployment.program.events("counters_reported")[-1]["counts"]
+        counts = deployment.balancer.events("counters_reported")[-1]["counts"]
         assert not {n for n in counts if n.startswith(("accepts_failed_", "connects_failed_", "internal_errors"))}
     finally:
         new_discovery.close()
@@ -78,11 +78,11 @@
     deployment = deploy(files=96)
     wait_until(lambda: deployment.discovery.watches, "a watch")
     deployment.discovery.close()
-    wait_until(lambda: len(deployment.program.events("discovery_call_failed")) > 1, "failed calls")
+    wait_until(lambda: len(deployment.balancer.events("discovery_call_failed")) > 1, "failed calls")
     silent = [deployment.client() for _ in range(300)]
-    new_discovery = Discovery([server.target() for server in deployment.runners])
+    new_discovery = StubDiscovery([server.target() for server in deployment.servers])
     try:
-        deployment.program.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
+        deployment.balancer.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
         wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
         with deployment.client() as client:
             assert client.open().startswith(b"UP ")
@@ -90,7 +90,7 @@
         new_discovery.close()
     for client in silent:
         client.close()
-    assert "accepts_failed_emfile" not in deployment.program.counts()
+    assert "accepts_failed_emfile" not in deployment.balancer.counts()
 
 
 def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(deploy):
@@ -98,7 +98,7 @@
     deployment = deploy()
     wait_until(lambda: deployment.discovery.watches, "a watch")
     wait_until(
-        lambda: deployment.program.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process"
+        lambda: deployment.balancer.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process"
     )
 
 
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -13,7 +13,16 @@
 import trio.testing
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import SETTINGS, TIMEOUT_SECONDS, Discovery, Program, Runner, Server, reset, wait_until
+from standins import (
+    SETTINGS,
+    TIMEOUT_SECONDS,
+    BalancerProcess,
+    StubDiscovery,
+    StubServer,
+    ThreadedServer,
+    reset,
+    wait_until,
+)
 
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.discovery import watch_policy
@@ -34,7 +43,7 @@
     return json.dumps({"rev": revision, "all": complete, "targets": targets}, indent=indent).encode() + b"\n"
 
 
-class ScriptedDiscovery(Server):
+class ScriptedDiscovery(ThreadedServer):
     """Serves each call by the next of its scripts; the last script serves all further calls.
 
     Attributes:
@@ -556,14 +565,14 @@
 
 def test_program_applies_indented_lists_and_a_drain_in_one(deploy, monkeypatch):
     monkeypatch.setattr(
-        Discovery,
+        StubDiscovery,
         "_update",
         lambda discovery, complete, targets: (
             json.dumps({"rev": discovery.rev, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
         ),
     )
     deployment = deploy()
-    deployment.drain(deployment.runners[0])
+    deployment.drain(deployment.servers[0])
     for _ in range(4):
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
@@ -572,18 +581,18 @@
 @pytest.mark.parametrize("pushed", [False, True])
 def test_reload_while_discovery_rejects_and_sigterm_while_it_hangs_are_handled_in_time(tmp_path, pushed):
     """The process must exit in time although the discovery call hangs."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     old_server, new_server = ScriptedDiscovery(reject_call), ScriptedDiscovery(hang)
     settings = {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
-    program = Program(tmp_path, old_server.address, [server.target()], settings=settings)
+    balancer = BalancerProcess(tmp_path, old_server.address, [server.target()], settings=settings)
     try:
         wait_until(lambda: len(old_server.calls) > 2, "calls")
-        program.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
+        balancer.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
         wait_until(lambda: new_server.calls, "a call at the new address")
-        program.process.send_signal(signal.SIGTERM)
-        assert program.process.wait(TIMEOUT_SECONDS) == 0
-        assert "internal_errors" not in program.events("counters_reported")[0]["counts"]
+        balancer.process.send_signal(signal.SIGTERM)
+        assert balancer.process.wait(TIMEOUT_SECONDS) == 0
+        assert "internal_errors" not in balancer.events("counters_reported")[0]["counts"]
     finally:
-        program.kill()
+        balancer.kill()
         for stand_in in (old_server, new_server, server):
             stand_in.close()
--- a/tests/test_events_by_stage.py
+++ b/tests/test_events_by_stage.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness, Gate
-from standins import TIMEOUT_SECONDS, Runner, reset
+from standins import TIMEOUT_SECONDS, StubServer, reset
 
 from aspensaddle.core.actions import CancelAttempt, StartAttempt
 from aspensaddle.frontends.line_protocol.connection_handler import ConnectionHandler
@@ -190,7 +190,7 @@
 
 def run_event_at_stage(stage, event, monkeypatch):
     """Cause an event at a stage, let everything continue, and check what the client received."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
     harness = FrontendHarness([server], connect_timeout=2.0)
 
--- a/tests/test_idempotent_retries.py
+++ b/tests/test_idempotent_retries.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 from frontend_harness import REQUEST_CLASS, FrontendHarness, Gate
-from standins import Runner, reset
+from standins import StubServer, reset
 
 PURE_CLASS, SIDE_EFFECT_CLASS = {**REQUEST_CLASS, "repeat": "pure"}, {**REQUEST_CLASS, "repeat": "side_effect"}
 
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, request_class, zones=("surabaya", "surabaya"), cells=(0, 0)):
-        self.servers = [Runner(f"s-{i}") for i in range(len(zones))]
+        self.servers = [StubServer(f"s-{i}") for i in range(len(zones))]
         for server in self.servers:
             server.held = True
         targets = [
@@ -166,6 +166,6 @@
         client.stream.socket.close()
         await harness.wait_until_all_closed()
 
-    server = Runner("s-0")
+    server = StubServer("s-0")
     FrontendHarness([server], request_classes=[SIDE_EFFECT_CLASS]).run(script)
     assert not server.first_lines
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from standins import ROOT, TIMEOUT_SECONDS, Client, Runner, free_port, wait_until
+from standins import ROOT, TIMEOUT_SECONDS, Client, StubServer, free_port, wait_until
 
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.importer.converter import convert
@@ -150,7 +150,7 @@
 
 
 def test_the_command_writes_a_configuration_with_which_the_balancer_serves(tmp_path):
-    server, port = Runner("s-0"), free_port()
+    server, port = StubServer("s-0"), free_port()
     text = (
         VALID_CONFIGURATION.replace("127.0.0.1:9001 weight=3", f"127.0.0.1:{server.address[1]}")
         .replace("    server 127.0.0.1:9002;\n    server 127.0.0.1:9003 down;\n", "")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,17 +17,17 @@
     """What the agent holds counts as known: without a watch, a server that is gone would get attempts forever."""
     deployment = deploy(settings={**SETTINGS, "discovery": "pushed"})
     wait_until(lambda: deployment.discovery.watches, "a watch")
-    deployment.discovery.change(deployment.runners[0].target(state="leaving"))
-    wait_until(lambda: "draining" in str(deployment.program.events("endpoints_updated")), "the change")
+    deployment.discovery.change(deployment.servers[0].target(state="leaving"))
+    wait_until(lambda: "draining" in str(deployment.balancer.events("endpoints_updated")), "the change")
     for number in range(4):
         with deployment.client() as client:
             assert client.open(f"c=test-run,d=2500,g={number}") == b"UP s-1\r\n"
     deployment.discovery.mute = True
-    wait_until(lambda: deployment.program.events("discovery_call_failed"), "the silence timeout")
+    wait_until(lambda: deployment.balancer.events("discovery_call_failed"), "the silence timeout")
     deployment.discovery.mute = False
-    deployment.discovery.change(deployment.runners[0].target(), deployment.runners[1].target(state="leaving"))
+    deployment.discovery.change(deployment.servers[0].target(), deployment.servers[1].target(state="leaving"))
     wait_until(
-        lambda: '["s-1", "draining"' in json.dumps(deployment.program.events("endpoints_updated")), "the change"
+        lambda: '["s-1", "draining"' in json.dumps(deployment.balancer.events("endpoints_updated")), "the change"
     )
 
 
@@ -41,13 +41,15 @@
 
 def test_servers_that_health_checks_report_as_loaded_by_others_get_no_attempts(deploy):
     deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
-    deployment.runners[0].report, deployment.runners[1].report = (
+    deployment.servers[0].report, deployment.servers[1].report = (
         b"PONG inflight=90,x0=0.84\r\n",
         b"PONG inflight=9,x0=0.10\r\n",
     )
-    wait_until(lambda: deployment.program.counts().get("health_checks_ok", 0) >= 4, "health checks with load reports")
+    wait_until(
+        lambda: deployment.balancer.counts().get("health_checks_ok", 0) >= 4, "health checks with load reports"
+    )
     # The health checks reuse their connection.
-    assert deployment.runners[0].probes >= 2 and len(deployment.runners[0].connections) <= 2
+    assert deployment.servers[0].probes >= 2 and len(deployment.servers[0].connections) <= 2
     for number in range(3):  # each is closed once established
         with deployment.client() as client:
             assert client.open(f"c=test-run,t=acme,d=2500,g={number}") == b"UP s-1\r\n"
@@ -67,12 +69,12 @@
 )
 def test_health_check_responses_that_are_invalid_partial_repeated_or_missing_do_not_affect_requests(deploy, report):
     deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
-    for server in deployment.runners:
+    for server in deployment.servers:
         server.report = report
-    wait_until(lambda: deployment.program.counts().get("health_checks_started", 0) >= 4, "health checks")
+    wait_until(lambda: deployment.balancer.counts().get("health_checks_started", 0) >= 4, "health checks")
     with deployment.client() as client:
         assert client.open("c=test-run,t=,d=2500,g=5").startswith(b"UP s-")
-    assert "internal_errors" not in deployment.program.counts()
+    assert "internal_errors" not in deployment.balancer.counts()
 
 
 def test_connection_relays_lines_from_open_to_bye(deploy):
@@ -84,13 +86,13 @@
         client.send(b"QUIT\r\n")
         assert client.line() == b"BYE\r\n"
         assert client.line() == b""
-    (first_line,) = deployment.runners[0].first_lines
+    (first_line,) = deployment.servers[0].first_lines
     head, _, tail = first_line.partition(b"d=")
     time_left, _, rest = tail.partition(b",")
     assert head.endswith(b" 7f3a9c21e0b4d655 c=draft-save,") and rest == b"g=5c0f6e1a2b3d4c59,x=1\r\n"
     assert 0 < int(time_left) < 2500  # the balancer waits for less time than the client
     counts = wait_until(
-        lambda: (current := deployment.program.counts()).get("connections_ended_ok") and current,
+        lambda: (current := deployment.balancer.counts()).get("connections_ended_ok") and current,
         "the end of the connection",
     )
     assert counts["connections_established"] == counts["attempts_established"] == counts["connections_ended_ok"] == 1
@@ -113,23 +115,23 @@
     for _ in range(4):
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
-    counts = deployment.program.counts()
-    assert counts[f"attempts_{outcome}"] == len(deployment.runners[0].first_lines) >= 1
+    counts = deployment.balancer.counts()
+    assert counts[f"attempts_{outcome}"] == len(deployment.servers[0].first_lines) >= 1
     assert counts["attempts_started"] == counts["attempts_established"] + counts[f"attempts_{outcome}"]
 
 
 def test_unreachable_server_is_replaced_by_another(deploy):
     deployment = deploy()
-    deployment.runners[0].close()
+    deployment.servers[0].close()
     for _ in range(4):
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
-    assert deployment.program.counts()["attempts_unreachable"] >= 1
+    assert deployment.balancer.counts()["attempts_unreachable"] >= 1
 
 
 def test_connection_that_is_never_established_fails_at_the_connect_timeout(deploy):
     deployment = deploy()
-    deployment.runners[0].close()
+    deployment.servers[0].close()
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener:
         # A full accept queue drops connection attempts, as a machine that has vanished would.
         queued = [socket.socket() for _ in range(4)]
@@ -137,19 +139,19 @@
             connection.setblocking(False)
             connection.connect_ex(full_listener.getsockname())
         deployment.discovery.change(
-            deployment.runners[0].target(endpoint=f"127.0.0.1:{full_listener.getsockname()[1]}")
+            deployment.servers[0].target(endpoint=f"127.0.0.1:{full_listener.getsockname()[1]}")
         )
         wait_until(
             lambda: (
                 deployment.discovery.watches
-                and any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated"))
+                and any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated"))
             ),
             "the change",
         )
         for _ in range(4):
             with deployment.client() as client:
                 assert client.open() == b"UP s-1\r\n"
-        assert deployment.program.counts()["attempts_unreachable"] >= 1
+        assert deployment.balancer.counts()["attempts_unreachable"] >= 1
         for connection in queued:
             connection.close()
 
@@ -161,9 +163,9 @@
         response = client.open("c=test-run,d=100000")
         assert response.startswith(b"BUSY ") and 0 < int(response[5:]) <= 1000
         assert client.line() == b""
-    assert len(deployment.runners[0].first_lines) <= 6
-    assert deployment.program.counts()["rejected_attempts_exhausted"] == 1
-    assert deployment.program.events("request")[0]["reject_reason"] == "attempts_exhausted"
+    assert len(deployment.servers[0].first_lines) <= 6
+    assert deployment.balancer.counts()["rejected_attempts_exhausted"] == 1
+    assert deployment.balancer.events("request")[0]["reject_reason"] == "attempts_exhausted"
 
 
 def test_attempt_on_a_silent_server_times_out_before_the_client_does(deploy):
@@ -172,7 +174,7 @@
         start = time.monotonic()
         assert client.open("c=test-run,d=600").startswith(b"BUSY ")
         assert time.monotonic() - start > 0.3  # the balancer waited for the server
-    assert deployment.program.counts()["attempts_timed_out"] == 1
+    assert deployment.balancer.counts()["attempts_timed_out"] == 1
 
 
 @pytest.mark.parametrize(
@@ -193,7 +195,7 @@
         invalid.send(line)
         assert invalid.line() == b"ERR\r\n"
         assert valid.open().startswith(b"UP ")
-    assert "internal_errors" not in deployment.program.counts()
+    assert "internal_errors" not in deployment.balancer.counts()
 
 
 def test_half_close_is_passed_on_and_lines_still_return(deploy):
@@ -210,7 +212,7 @@
     deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
-        deployment.runners[0].close()
+        deployment.servers[0].close()
         with suppress(ConnectionResetError):
             assert client.line() == b""
 
@@ -219,7 +221,7 @@
     deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
-        deployment.runners[0].mute = True
+        deployment.servers[0].mute = True
         client.send(b"M 1\r\n")
         start = time.monotonic()
         assert client.line() == b"MOVE\r\n" and client.line() == b""
@@ -229,18 +231,18 @@
 def test_draining_server_gets_no_new_connections_until_it_is_ready_again(deploy):
     deployment = deploy()
     wait_until(lambda: deployment.discovery.watches, "a watch")
-    deployment.discovery.change(deployment.runners[0].target(state="leaving"))
+    deployment.discovery.change(deployment.servers[0].target(state="leaving"))
     wait_until(
-        lambda: any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated")), "the change"
+        lambda: any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated")), "the change"
     )
     for _ in range(6):
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
     deployment.discovery.change(
-        deployment.runners[0].target(state="active"), deployment.runners[1].target(state="left")
+        deployment.servers[0].target(state="active"), deployment.servers[1].target(state="left")
     )
     wait_until(
-        lambda: any(event["revision"] == 3 for event in deployment.program.events("endpoints_updated")),
+        lambda: any(event["revision"] == 3 for event in deployment.balancer.events("endpoints_updated")),
         "the change back",
     )
     with deployment.client() as client:
@@ -260,7 +262,7 @@
     for _ in range(3):
         with deployment.client() as client:
             assert client.open("c=test-run,d=1000,at=s-1") == b"UP s-1\r\n"
-    assert deployment.program.counts()["connections_established"] == 3
+    assert deployment.balancer.counts()["connections_established"] == 3
 
 
 def test_shutdown_migrates_all_connections_and_rejects_new_requests(deploy):
@@ -269,9 +271,9 @@
     for client in established:
         assert client.open().startswith(b"UP ")
     exit_statuses = []
-    thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
+    thread = threading.Thread(target=lambda: exit_statuses.append(deployment.balancer.terminate()))
     thread.start()
-    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    wait_until(lambda: deployment.balancer.events("shutdown_started"), "the start of the shutdown")
     with deployment.client() as late_client:
         assert late_client.open().startswith(b"BUSY ")
     for client in established:
@@ -279,7 +281,7 @@
         client.close()
     thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
-    (counters,) = deployment.program.events("counters_reported")  # logged at exit
+    (counters,) = deployment.balancer.events("counters_reported")  # logged at exit
     assert counters["counts"]["connections_migrated"] == 5
 
 
@@ -298,7 +300,7 @@
             return client.open().startswith(b"UP ")
 
     wait_until(accepts_a_request, "free descriptors")
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert "internal_errors" not in counts and "connects_failed_no_descriptors" not in counts
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 import trio
-from standins import SETTINGS, TIMEOUT_SECONDS, Client, Discovery, Program, Runner, wait_until
+from standins import SETTINGS, TIMEOUT_SECONDS, BalancerProcess, Client, StubDiscovery, StubServer, wait_until
 
 from aspensaddle.core.events import EndpointUpdateScope
 from aspensaddle.daemon.config import ConfigSource
@@ -26,11 +26,11 @@
     """Two discovery services that list the same servers, and a balancer configured with the first of them."""
 
     def __init__(self, folder, **config):
-        self.servers = [Runner("s-0"), Runner("s-1")]
+        self.servers = [StubServer("s-0"), StubServer("s-1")]
         self.old_discovery, self.new_discovery = (
-            Discovery([server.target() for server in self.servers]) for _ in range(2)
+            StubDiscovery([server.target() for server in self.servers]) for _ in range(2)
         )
-        self.program = Program(
+        self.balancer = BalancerProcess(
             folder, self.old_discovery.address, [server.target() for server in self.servers], **config
         )
         wait_until(lambda: self.old_discovery.watches or self.old_discovery.refuse, "the first watch")
@@ -40,7 +40,7 @@
         return "{}:{}".format(*self.new_discovery.address)
 
     def close(self):
-        self.program.kill()
+        self.balancer.kill()
         for stand_in in (self.old_discovery, self.new_discovery, *self.servers):
             stand_in.close()
 
@@ -60,21 +60,21 @@
 
 def test_change_of_the_discovery_address_keeps_established_connections(deploy_with_two_discoveries):
     deployment = deploy_with_two_discoveries()
-    with Client(deployment.program.address) as established:
+    with Client(deployment.balancer.address) as established:
         assert established.open().startswith(b"UP ")
-        assert deployment.program.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
+        assert deployment.balancer.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
         wait_until(lambda: deployment.new_discovery.watches, "a watch at the new address")
         assert established.echo(b"M 1") == b"M 1\r\n"
         deployment.new_discovery.change(deployment.servers[0].target(state="leaving"))
         wait_until(
-            lambda: any(event["revision"] == 2 for event in deployment.program.events("endpoints_updated")),
+            lambda: any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated")),
             "an update from the new address",
         )
         for _ in range(4):
-            with Client(deployment.program.address) as client:
+            with Client(deployment.balancer.address) as client:
                 assert client.open() == b"UP s-1\r\n"
         assert established.echo(b"M 2") == b"M 2\r\n"
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     # A reload does not reset the counters.
     assert counts["connections_established"] == 5 and counts["reloads_requested"] == 1
 
@@ -83,47 +83,47 @@
     deploy_with_two_discoveries,
 ):
     deployment = deploy_with_two_discoveries()
-    valid_config = dict(deployment.program.body)
+    valid_config = dict(deployment.balancer.body)
     for change, field in (
         ({"discovery": "nowhere"}, "discovery"),
         ({"limits": {"sockets": 1}}, "limits.sockets"),
         ({"settings": settings(lanes=SETTINGS["lanes"][1:])}, "settings.lanes"),
         ({"settings": settings(limits={"connect-timeout": -1})}, "limits.connect-timeout"),
     ):
-        event = deployment.program.reload(**{**valid_config, **change})
+        event = deployment.balancer.reload(**{**valid_config, **change})
         assert event["event"] == "reload_rejected" and field in event["error"]
-    (deployment.program.folder / "config.json").write_text("{")
-    deployment.program.process.send_signal(signal.SIGHUP)
+    (deployment.balancer.folder / "config.json").write_text("{")
+    deployment.balancer.process.send_signal(signal.SIGHUP)
     wait_until(
-        lambda: any("not JSON" in rejection["error"] for rejection in deployment.program.events("reload_rejected")),
+        lambda: any("not JSON" in rejection["error"] for rejection in deployment.balancer.events("reload_rejected")),
         "the fifth rejected reload",
     )
-    with Client(deployment.program.address) as client:
+    with Client(deployment.balancer.address) as client:
         assert client.open().startswith(b"UP ")
     assert deployment.old_discovery.watches == 1  # the watch was not interrupted
-    assert deployment.program.reload(**valid_config)["changed"] == []
-    assert deployment.program.counts()["reloads_rejected"] == 5
+    assert deployment.balancer.reload(**valid_config)["changed"] == []
+    assert deployment.balancer.counts()["reloads_rejected"] == 5
 
 
 def test_discovery_address_changes_while_a_call_is_in_flight_and_a_second_reload_follows(deploy_with_two_discoveries):
     deployment = deploy_with_two_discoveries()
     deployment.old_discovery.mute = True  # the old service keeps its watch open without heartbeats
-    deployment.program.reload(discovery="127.0.0.1:9")  # no process listens at this address
-    deployment.program.reload(discovery=deployment.new_address)
+    deployment.balancer.reload(discovery="127.0.0.1:9")  # no process listens at this address
+    deployment.balancer.reload(discovery=deployment.new_address)
     wait_until(lambda: deployment.new_discovery.watches, "a watch at the last address")
     # The watch must not wait for a backoff, which a failure reported to the driver would have started.
-    assert deployment.program.process.poll() is None
+    assert deployment.balancer.process.poll() is None
 
 
 def test_discovery_address_changes_during_the_shutdown(deploy_with_two_discoveries):
     deployment = deploy_with_two_discoveries()
-    with Client(deployment.program.address) as client:
+    with Client(deployment.balancer.address) as client:
         assert client.open().startswith(b"UP ")
         exit_statuses = []
-        thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
+        thread = threading.Thread(target=lambda: exit_statuses.append(deployment.balancer.terminate()))
         thread.start()
-        wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
-        deployment.program.reload(discovery=deployment.new_address)
+        wait_until(lambda: deployment.balancer.events("shutdown_started"), "the start of the shutdown")
+        deployment.balancer.reload(discovery=deployment.new_address)
         assert client.line() == b"MOVE\r\n"
     thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
@@ -132,14 +132,14 @@
 def test_settings_and_limits_are_replaced_and_fields_that_need_a_restart_are_named(deploy_with_two_discoveries):
     deployment = deploy_with_two_discoveries()
     request_classes = [*copy.deepcopy(SETTINGS["lanes"]), {"name": "new", "aim": 0.3, "deadline": 3.0}]
-    with Client(deployment.program.address) as client:
+    with Client(deployment.balancer.address) as client:
         assert client.open("c=new,d=3000") == b"ERR\r\n"
-    event = deployment.program.reload(
+    event = deployment.balancer.reload(
         name="n9", seed="other", settings=settings(lanes=request_classes, locality=1), limits={"sockets": 70}
     )
     assert sorted(event["changed"]) == ["limits", "settings"]
     assert event["needs_restart"] == ["name", "seed", "settings.zone"]
-    clients = [Client(deployment.program.address) for _ in range(40)]
+    clients = [Client(deployment.balancer.address) for _ in range(40)]
     responses = [client.open("c=new,d=3000")[:2] for client in clients]
     assert {b"UP", b"BU"} == set(responses)  # the new request class, and the new limit on sockets
     for client in clients:
@@ -181,7 +181,7 @@
 
 def test_new_address_that_rejects_at_first_is_called_again_and_reports_no_failure():
     async def main():
-        old_discovery, new_discovery = Discovery([]), Discovery([])
+        old_discovery, new_discovery = StubDiscovery([]), StubDiscovery([])
         new_discovery.refuse = 3
         driver, watcher = create_watcher(old_discovery.address)
         with trio.fail_after(TIMEOUT_SECONDS):
@@ -204,7 +204,7 @@
     """The timer of a backoff that was running when the address changed requests a second watch."""
 
     async def main():
-        discovery = Discovery([])
+        discovery = StubDiscovery([])
         driver, watcher = create_watcher(discovery.address)
         with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
@@ -221,23 +221,24 @@
 
 def test_sighup_before_the_program_is_ready_is_delivered_once_it_is(tmp_path):
     """The signal receiver is installed before the first PONG, and delivers a signal that was sent earlier."""
-    server, discovery = Runner("s-0"), Discovery([])
-    program = Program(tmp_path, discovery.address, [server.target()])
+    server, discovery = StubServer("s-0"), StubDiscovery([])
+    balancer = BalancerProcess(tmp_path, discovery.address, [server.target()])
     try:
         for _ in range(3):
-            program.kill()
-            program.log.write_bytes(b"")
-            starting = threading.Thread(target=program.start)
+            balancer.kill()
+            balancer.log.write_bytes(b"")
+            starting = threading.Thread(target=balancer.start)
             starting.start()
             wait_until(
-                lambda: program.process.poll() is None and blocks_or_handles_sighup(program.process.pid), "the start"
+                lambda: balancer.process.poll() is None and blocks_or_handles_sighup(balancer.process.pid),
+                "the start",
             )
-            program.process.send_signal(signal.SIGHUP)
+            balancer.process.send_signal(signal.SIGHUP)
             starting.join(TIMEOUT_SECONDS)
-            wait_until(lambda: program.events("config_reloaded"), "the reload")
-            assert program.process.poll() is None
+            wait_until(lambda: balancer.events("config_reloaded"), "the reload")
+            assert balancer.process.poll() is None
     finally:
-        program.kill()
+        balancer.kill()
         server.close()
         discovery.close()
 
--- a/tests/test_response_delivery.py
+++ b/tests/test_response_delivery.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 from frontend_harness import FrontendHarness, Gate
-from standins import Runner
+from standins import StubServer
 
 from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlots
 from aspensaddle.frontends.line_protocol.link import Link
@@ -15,7 +15,7 @@
 
 def test_client_that_still_sends_after_the_server_ended_gets_the_bye_without_a_reset():
     """Guards against a plain close while lines of the client are unread, which would reset the connection."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -37,7 +37,7 @@
 
 
 def test_open_that_arrives_during_an_eviction_gets_a_complete_busy_and_no_attempt():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         gate = Gate()
@@ -62,7 +62,7 @@
 )
 def test_response_not_sent_yet_arrives_although_descriptors_are_freed(free_descriptors):
     """Guards against counting a connection as lingering before its response is written."""
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
 
     async def script(harness):
         gate = Gate()
@@ -80,7 +80,7 @@
 
 
 def test_response_that_is_being_sent_arrives_although_the_process_ends(monkeypatch):
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
     send = Link.send
 
     async def script(harness):
@@ -105,7 +105,7 @@
 
 def test_migration_decided_while_a_connection_is_established_sends_move_after_up():
     """The relay does not exist yet at that moment, so it cannot be stopped."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         established = harness.driver.connection_established
@@ -124,7 +124,7 @@
 
 
 def test_migration_after_sending_to_the_client_ended_sends_no_move():
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("response", [b"LOAD 1\r\n" * 2000, b"x" * 4097, b"UP s-0", b"UP " + b"x" * 4095 + b"\r\n"])
 def test_endless_or_too_long_server_response_fails_the_attempt_and_a_second_one_succeeds(response):
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -171,7 +171,7 @@
 
 
 def test_server_response_after_the_attempt_timed_out_is_not_passed_on():
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
@@ -189,7 +189,7 @@
 
 def test_event_loop_lag_is_subtracted_from_the_time_left_of_a_request():
     """The time of a request counts from the last byte of its line, also if the process reads the line late."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def script(harness):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 import trio
 from frontend_harness import FrontendHarness
 from helpers import SETTINGS as CORE_SETTINGS
-from standins import SETTINGS, TIMEOUT_SECONDS, Client, Runner, wait_until
+from standins import SETTINGS, TIMEOUT_SECONDS, Client, StubServer, wait_until
 
 from aspensaddle.daemon.graceful_shutdown import (
     KILL_MARGIN_SECONDS,
@@ -57,7 +57,7 @@
     client = deployment.client()
     Client.count += 1
     client.send(f"OPEN {Client.count:016x} 7f3a9c21e0b4d655 {fields}\r\n".encode())
-    held = wait_until(lambda: [server for server in deployment.runners if not server.offers.empty()], "the attempt")[
+    held = wait_until(lambda: [server for server in deployment.servers if not server.offers.empty()], "the attempt")[
         0
     ]
     return client, held.offered()[0]
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("deadline", [0.9, 3.0])
 def test_sigterm_in_any_stage_of_a_request_leads_to_a_complete_response(deploy, deadline):
     deployment = deploy(settings={**SETTINGS, "lanes": classes_with_deadline(deadline)})
-    for server in deployment.runners:
+    for server in deployment.servers:
         server.held = True
     idle, partial = deployment.client(), deployment.client()
     partial.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=te")
@@ -87,9 +87,9 @@
     awaiting_line.send(b"M 7\r\n")
     assert awaiting_line_server.recv(100) == b"M 7\r\n"
     exit_statuses = []
-    thread = threading.Thread(target=lambda: exit_statuses.append(deployment.program.terminate()))
+    thread = threading.Thread(target=lambda: exit_statuses.append(deployment.balancer.terminate()))
     thread.start()
-    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
+    wait_until(lambda: deployment.balancer.events("shutdown_started"), "the start of the shutdown")
     partial.send(b"st-run,d=900\r\n")
     responded_later_server.sendall(b"UP s-x\r\n")
     partly_responded_server.sendall(b"-x\r\n")
@@ -103,7 +103,7 @@
         assert client.rest() == b"UP s-x\r\nMOVE\r\n"
     thread.join(TIMEOUT_SECONDS)
     assert (
-        exit_statuses == [0] and "internal_errors" not in deployment.program.events("counters_reported")[0]["counts"]
+        exit_statuses == [0] and "internal_errors" not in deployment.balancer.events("counters_reported")[0]["counts"]
     )
 
 
@@ -113,19 +113,19 @@
     for _ in range(200):
         established.append(deployment.client())
         assert established[-1].open("c=test-run,d=3000").startswith(b"UP ")
-    thread = threading.Thread(target=deployment.program.terminate)
+    thread = threading.Thread(target=deployment.balancer.terminate)
     thread.start()
     for client in established:
         assert client.rest() == b"MOVE\r\n"
         client.close()
     thread.join(TIMEOUT_SECONDS)
-    assert deployment.program.process.returncode == 0
+    assert deployment.balancer.process.returncode == 0
 
 
 @pytest.mark.parametrize("data", [b"OPEN 1 k c=test-run,d=900\r\n", b"OPEN 1 k c=te", b""])
 def test_connections_in_the_accept_queue_get_a_response(data):
     """Only the shutdown accepts connections here. Closing the listener first would reset all that are queued."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def scenario(harness):
         peers = [await harness.connect() for _ in range(60)]
@@ -162,13 +162,13 @@
             ],
         }
     )
-    for server in deployment.runners:
+    for server in deployment.servers:
         server.held = True
     clients = {name: open_attempt(deployment, f"c={name},d=30000")[0] for name in RESPONSES_BY_CLASS}
-    assert deployment.program.terminate() == 0
+    assert deployment.balancer.terminate() == 0
     for name, (_, response) in RESPONSES_BY_CLASS.items():
         assert re.fullmatch(response + rb"( \d+)?\r\n", clients[name].rest()), name
-    reject_reasons = [event["reject_reason"] for event in deployment.program.events("request")]
+    reject_reasons = [event["reject_reason"] for event in deployment.balancer.events("request")]
     assert (
         reject_reasons.count("shutting_down")
         == sum(response == b"BUSY" for _, response in RESPONSES_BY_CLASS.values())
@@ -181,15 +181,15 @@
     wait_until(lambda: deployment.discovery.watches, "a watch")
     client = deployment.client()
     assert client.open().startswith(b"UP ")
-    deployment.program.process.send_signal(signal.SIGTERM)
-    wait_until(lambda: deployment.program.events("shutdown_started"), "the start of the shutdown")
-    deployment.drain(deployment.runners[0])
-    deployment.program.process.send_signal(signal.SIGHUP)
-    deployment.program.process.send_signal(signal.SIGTERM)
+    deployment.balancer.process.send_signal(signal.SIGTERM)
+    wait_until(lambda: deployment.balancer.events("shutdown_started"), "the start of the shutdown")
+    deployment.drain(deployment.servers[0])
+    deployment.balancer.process.send_signal(signal.SIGHUP)
+    deployment.balancer.process.send_signal(signal.SIGTERM)
     assert client.rest() == b"MOVE\r\n"
     assert (
-        deployment.program.process.wait(TIMEOUT_SECONDS) == 0
-        and len(deployment.program.events("shutdown_started")) == 1
+        deployment.balancer.process.wait(TIMEOUT_SECONDS) == 0
+        and len(deployment.balancer.events("shutdown_started")) == 1
     )
 
 
@@ -197,18 +197,18 @@
     """Some clients are idle until the balancer evicts them, and send a request at that moment."""
     deployment = deploy()
     idle_clients = [deployment.client() for _ in range(10)]
-    deployment.program.process.send_signal(signal.SIGTERM)
+    deployment.balancer.process.send_signal(signal.SIGTERM)
     for number, client in enumerate(idle_clients):
         assert client.line().startswith(b"BUSY")
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=900\r\n" % number)
         client.sock.shutdown(socket.SHUT_WR)
         assert client.rest() == b""
-    assert deployment.program.process.wait(TIMEOUT_SECONDS) == 0
-    assert not any(server.first_lines for server in deployment.runners)
+    assert deployment.balancer.process.wait(TIMEOUT_SECONDS) == 0
+    assert not any(server.first_lines for server in deployment.servers)
 
 
 def test_client_that_never_closes_delays_the_shutdown_only_until_the_close_deadline():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def scenario(harness):
         peers = [await harness.send_open() for _ in range(5)]
@@ -226,7 +226,7 @@
 
 def test_request_in_flight_is_waited_for_until_its_response_is_sent():
     """A server's response after the start of migration still establishes a connection, which is then migrated."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
     server.held = True
 
     async def scenario(harness):
@@ -246,7 +246,7 @@
 
 
 def test_request_rejected_as_its_attempt_is_established_is_reported_as_shutting_down():
-    server = Runner("s-0")
+    server = StubServer("s-0")
     harness = FrontendHarness([server])
     attempt = harness.connector.attempt
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, Client, Program, Runner, free_port, wait_until
+from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, BalancerProcess, Client, StubServer, free_port, wait_until
 
 from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.store.messages import (
@@ -214,7 +214,7 @@
 
 
 def test_daemons_use_the_stored_endpoints_and_settings_before_and_after_restarts(tmp_path):
-    server = Runner("s-9")
+    server = StubServer("s-9")
     nodes = {node: f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}" for node in ("n0", "n1")}
     store_settings = (
         f'enabled = true\nrunners = true\ngossip_s = 0.1\nkey = "{SHARED_KEY.hex()}"\n[nodes]\n'
@@ -224,7 +224,7 @@
     try:
         for name in nodes:
             (tmp_path / name).mkdir()
-            balancers.append(Program(tmp_path / name, ("127.0.0.1", 9), [], store=store_settings, name=name))
+            balancers.append(BalancerProcess(tmp_path / name, ("127.0.0.1", 9), [], store=store_settings, name=name))
         settings_file = tmp_path / "n0" / "store.toml"
 
         def serves(balancer):
