--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -129,7 +129,7 @@
             self.config, self.driver, self.connector, self.endpoints, self.counters, log
         )
         self.listener = Listener(("127.0.0.1", 0))
-        self.driver.start(self.apply_endpoint_list(*(targets or [stand_in.target() for stand_in in servers])))
+        self.driver.start(self.apply_endpoint_list(*(targets or [stand_in.endpoint_entry() for stand_in in servers])))
         self.request_count = 0
 
     def apply_endpoint_list(self, *targets: dict[str, Any]) -> Any:
--- a/tests/soak/harness.py
+++ b/tests/soak/harness.py
@@ -42,7 +42,7 @@
         self.balancer_discoveries = [
             BalancerDiscovery(f"n{n}", self.discovery) for n in range(self.deployment.balancers)
         ]
-        endpoint_list = {"rev": 1, "all": True, "targets": [server.target() for server in self.servers]}
+        endpoint_list = {"rev": 1, "all": True, "targets": [server.endpoint_entry() for server in self.servers]}
         self.balancers = []
         for number, balancer_discovery in enumerate(self.balancer_discoveries):
             config = {
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -33,7 +33,12 @@
         self.address = (host, int(port))
         self.folder = folder / self.name
         self.folder.mkdir(parents=True)
-        self.files, self.patch, self.environ, self.body = config["limits"]["sockets"], "", {}, config
+        self.max_descriptors, self.startup_code, self.environ, self.config = (
+            config["limits"]["sockets"],
+            "",
+            {},
+            config,
+        )
         self.harness = harness
         self.disruption_lock = threading.Lock()  # held while one step is applied
         self.target: Target | None = None
@@ -68,8 +73,8 @@
     def reload_twice(self) -> None:
         """Change the configuration and send SIGHUP, twice."""
         for _ in range(2):
-            limits = {**self.body["settings"]["limits"], "max-retry-after": self.harness.rng.choice([0.5, 1.0])}
-            self.configure(settings={**self.body["settings"], "limits": limits})
+            limits = {**self.config["settings"]["limits"], "max-retry-after": self.harness.rng.choice([0.5, 1.0])}
+            self.configure(settings={**self.config["settings"], "limits": limits})
             self.signal(signal.SIGHUP)
             time.sleep(SIGNAL_INTERVAL_SECONDS)
 
--- a/tests/soak/servers.py
+++ b/tests/soak/servers.py
@@ -65,7 +65,7 @@
 
     def wait_to_accept(self) -> None:
         """Block while accepts are paused."""
-        while self.paused and not self.over.is_set():
+        while self.paused and not self.closed.is_set():
             time.sleep(POLL_INTERVAL_SECONDS)
 
     def pause_accepts(self) -> list[socket.socket]:
@@ -125,7 +125,7 @@
 
     def _echo(self, connection: socket.socket, lines: BufferedReader) -> None:
         for line in lines:
-            while self.fault == "hang" and not self.over.is_set():
+            while self.fault == "hang" and not self.closed.is_set():
                 time.sleep(POLL_INTERVAL_SECONDS)
             connection.sendall(line)
 
@@ -149,9 +149,9 @@
             except OSError:
                 continue  # the balancer has closed it already
 
-    def target(self, **more: Any) -> dict[str, Any]:
+    def endpoint_entry(self, **fields: Any) -> dict[str, Any]:
         """Return the entry of this server in the endpoint list."""
-        return super().target(az=self.zone, state=self.state, boot_ms=self.started_ms, **more)
+        return super().endpoint_entry(az=self.zone, state=self.state, boot_ms=self.started_ms, **fields)
 
 
 class BalancerDiscovery(StubDiscovery):
@@ -174,7 +174,7 @@
         if fault == "reject":
             connection.sendall(DISCOVERY_REJECTION)
             return
-        while state.fault == "hang_calls" and not self.over.is_set():
+        while state.fault == "hang_calls" and not self.closed.is_set():
             time.sleep(POLL_INTERVAL_SECONDS)
         self._serve_watch(connection, state.generation)
 
@@ -188,10 +188,10 @@
         connection.sendall(WATCH_HEAD)
         self._send_update(connection, True, full_list)
         last_sent_at = time.monotonic()
-        while state.generation == generation and not self.over.is_set():
+        while state.generation == generation and not self.closed.is_set():
             time.sleep(POLL_INTERVAL_SECONDS)
             if state.fault == "silent":
-                self.over.wait()  # this watch sends nothing more
+                self.closed.wait()  # this watch sends nothing more
                 return
             if len(state.changes) > changes_sent:
                 self._send_update(connection, False, [state.changes[changes_sent]])
@@ -211,8 +211,8 @@
             self.registry.record.add(EndpointUpdateSent(self.registry.record.now(), self.balancer, uid, server_state))
 
     def _encode_update(self, full: bool, entries: list[dict[str, Any]]) -> bytes:
-        self.rev = self.registry.revision
-        return self._update(full, entries)
+        self.revision = self.registry.revision
+        return self._format_update(full, entries)
 
 
 class DiscoveryState:
@@ -227,14 +227,14 @@
 
     def entries(self) -> list[dict[str, Any]]:
         """Return the full endpoint list."""
-        return [server.target() for server in self.servers.values() if server.state != "left"]
+        return [server.endpoint_entry() for server in self.servers.values() if server.state != "left"]
 
     def change(self, server: SoakServer, state: str) -> None:
         """Change the state of a server in the endpoint list."""
         server.state = state
         self.record.add(EndpointChanged(self.record.now(), server.uid, state))
         self.revision += 1
-        self.changes.append(server.target())
+        self.changes.append(server.endpoint_entry())
 
     def end_watches(self, revision: int | None = None) -> None:
         """End all watches; with a revision, continue from it, as a discovery service that restarted does."""
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -16,7 +16,7 @@
 
 
 async def next_attempt(harness):
-    return await trio.to_thread.run_sync(harness.servers[0].offered)
+    return await trio.to_thread.run_sync(harness.servers[0].next_held_connection)
 
 
 async def wait_for_attempts(harness, count):
@@ -34,7 +34,7 @@
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
         await trio.sleep(1.2)
-        server.answer = b"UP r\r\n"
+        server.response = b"UP r\r\n"
         assert await client.read_line() == b"UP s-0\r\n"
         assert adoption_result(harness) == "established" and len(server.first_lines) == 3
         await close_client(client)
@@ -45,12 +45,12 @@
 
 def test_reset_attempt_is_retried_if_the_class_allows_it():
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
         connection, _ = await next_attempt(harness)
-        server.held = False
+        server.hold_connections = False
         reset(connection)
         assert await client.read_line() == b"UP s-0\r\n"
         await close_client(client)
@@ -83,7 +83,7 @@
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
         await wait_for_attempts(harness, 1)
-        server.answer = b"UP r\r\n"
+        server.response = b"UP r\r\n"
         assert await client.read_line() == b"UP s-0\r\n"
         await close_client(client)
         await harness.wait_until_all_closed()
@@ -99,26 +99,26 @@
         client = await harness.send_open(ADOPTION_FIELDS)
         await harness.wait_until(lambda: harness.frontend.pending_requests)
         await trio.sleep(0.7)
-        harness.change_endpoints(server.target())
+        harness.change_endpoints(server.endpoint_entry())
         assert await client.read_line() == b"UP s-0\r\n"
         await close_client(client)
         await harness.wait_until_all_closed()
 
-    FrontendHarness([server], targets=[{**server.target(), "uid": "s-other"}]).run(script)
+    FrontendHarness([server], targets=[{**server.endpoint_entry(), "uid": "s-other"}]).run(script)
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt"])
 def test_server_that_drains_or_leaves_the_list_gets_no_further_attempt(state, adoption_stage):
     server = StubServer("s-0", b"BUSY\r\n" if adoption_stage == "pause" else b"")
-    server.held = adoption_stage == "attempt"
+    server.hold_connections = adoption_stage == "attempt"
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
         await wait_for_attempts(harness, 1)
         if adoption_stage == "attempt":
             connection, _ = await next_attempt(harness)
-        harness.change_endpoints(server.target(state=state))
+        harness.change_endpoints(server.endpoint_entry(state=state))
         if adoption_stage == "attempt":
             connection.sendall(b"BUSY\r\n")
         assert (await client.read_to_end()).startswith(b"BUSY")
@@ -134,8 +134,8 @@
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt", "unlisted"])
 def test_client_that_disconnects_ends_its_adoption(departure, adoption_stage):
     server = StubServer("s-0", b"BUSY\r\n")
-    server.held = adoption_stage == "attempt"
-    targets = [{**server.target(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
+    server.hold_connections = adoption_stage == "attempt"
+    targets = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -156,8 +156,8 @@
 @pytest.mark.parametrize("adoption_stage", ["pause", "attempt", "unlisted"])
 def test_shutdown_ends_an_adoption_at_once_with_busy(adoption_stage):
     server = StubServer("s-0", b"BUSY\r\n")
-    server.held = adoption_stage == "attempt"
-    targets = [{**server.target(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
+    server.hold_connections = adoption_stage == "attempt"
+    targets = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -14,7 +14,7 @@
 def test_client_that_left_before_its_accept_causes_no_attempt(departure, clients_ahead):
     """Its OPEN and its end have both arrived before the first read; other clients are ahead in the accept queue."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         others = [await harness.send_open() for _ in range(clients_ahead)]
@@ -26,7 +26,7 @@
             client.reset()
         harness.nursery.start_soon(harness.frontend.serve, harness.listener, harness.nursery)
         for _ in range(clients_ahead):
-            await trio.to_thread.run_sync(server.offered)
+            await trio.to_thread.run_sync(server.next_held_connection)
         if departure == "ends":
             await client.read_to_end()
             client.stream.socket.close()
@@ -42,12 +42,12 @@
 def test_client_that_left_during_the_first_attempt_causes_no_second_one(departure):
     """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         (state,) = harness.frontend.pending_requests.values()
         gate = Gate()
         harness.connector._connect = gate.hold(harness.connector._connect)
@@ -70,12 +70,12 @@
 
 def test_client_that_sends_a_command_before_its_response_gets_an_error_and_no_further_attempt():
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         gate = Gate()
         harness.connector._connect = gate.hold(harness.connector._connect)
         connection.sendall(b"BUSY\r\n")
@@ -126,14 +126,14 @@
 def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(deploy):
     deployment = deploy()
     for server in deployment.servers:
-        server.held = True
+        server.hold_connections = True
     with deployment.client() as client:
         client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
         attempted_server = wait_until(
             lambda: [server for server in deployment.servers if server.first_lines], "the attempt"
         )[0]
-        connection, _ = attempted_server.offered()
+        connection, _ = attempted_server.next_held_connection()
         client.sock.shutdown(socket.SHUT_WR)
         assert connection.recv(100) == b""  # the attempt is cancelled
-        assert client.rest() == b""
+        assert client.read_to_end() == b""
     assert sum(len(server.first_lines) for server in deployment.servers) == 1
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -31,8 +31,10 @@
 
     def make(**config):
         server = StubServer("s-0")
-        discovery = StubDiscovery([server.target()])
-        made.extend((server, discovery, BalancerProcess(tmp_path, discovery.address, [server.target()], **config)))
+        discovery = StubDiscovery([server.endpoint_entry()])
+        made.extend(
+            (server, discovery, BalancerProcess(tmp_path, discovery.address, [server.endpoint_entry()], **config))
+        )
         return SimpleNamespace(server=server, balancer=made[-1], client=lambda: Client(made[-1].address))
 
     yield make
@@ -46,9 +48,9 @@
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
         assert client.echo(b"M 1") == b"M 1\r\n"
-    responses = [client.line() for client in silent]  # the oldest at once, the others after their time limit
+    responses = [client.read_line() for client in silent]  # the oldest at once, the others after their time limit
     assert {b"BUSY", b"ERR"} == {response.split()[0] for response in responses}
-    assert all(client.line() == b"" for client in silent)
+    assert all(client.read_line() == b"" for client in silent)
     for client in silent:
         client.close()
     counts = deployment.balancer.counts()
@@ -79,21 +81,21 @@
     deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"PING\r\n" * 100)
-        assert [client.line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
+        assert [client.read_line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
 
 
 @pytest.mark.parametrize("extra", [b"OPEN b k c=test-run,d=900\r\n" * 100, b"PING\r\n", b"z" * 5000])
 def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(deploy_with_one_server, extra):
     deployment = deploy_with_one_server()
-    deployment.server.answer = b""  # the server is silent, so the attempt lasts until it is cancelled
+    deployment.server.response = b""  # the server is silent, so the attempt lasts until it is cancelled
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\n" + extra)
-        assert client.line() == b"ERR\r\n"
+        assert client.read_line() == b"ERR\r\n"
     with deployment.client() as client:
         client.send(b"OPEN b k c=test-run,d=3000\r\n")
         wait_until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
         client.send(extra)
-        assert client.line() == b"ERR\r\n"
+        assert client.read_line() == b"ERR\r\n"
     assert "connections_established" not in deployment.balancer.counts()
 
 
@@ -101,7 +103,7 @@
     deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\nM 1\r\n")
-        assert client.line() == b"UP s-0\r\n" and client.line() == b"M 1\r\n"
+        assert client.read_line() == b"UP s-0\r\n" and client.read_line() == b"M 1\r\n"
 
 
 def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(deploy_with_one_server):
@@ -112,7 +114,7 @@
         for _ in range(3):
             with deployment.client() as second_client:
                 second_client.send(line)
-                assert second_client.line() == b"ERR\r\n"
+                assert second_client.read_line() == b"ERR\r\n"
         assert other_client.echo(b"M 1") == b"M 1\r\n"
     assert len(deployment.server.first_lines) == 1
 
@@ -122,7 +124,7 @@
     for _ in range(50):
         with deployment.client() as client:
             client.send(b"frob\r\n")
-            assert client.line() == b"ERR\r\n"
+            assert client.read_line() == b"ERR\r\n"
     assert deployment.balancer.counts()["invalid_requests"] == 50
     assert len(deployment.balancer.events("invalid_request")) < 25
     silent = deployment.client()
@@ -280,7 +282,7 @@
     clients = [deployment.client() for _ in range(count)]
     idle_after = [deployment.client() for _ in range(idle - idle // 2)]
     send_open_lines(clients, timing)
-    responses = Counter(client.line() for client in clients)
+    responses = Counter(client.read_line() for client in clients)
     for client in (*clients, *idle_before, *idle_after):
         client.close()
     counts = deployment.balancer.counts()
@@ -299,7 +301,7 @@
     assert slots.max_active >= 4 and min(slots.max_waiting, slots.max_lingering) >= MIN_STAGE_SHARE
 
 
-@pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"files": 928}], ids=str)
+@pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"max_descriptors": 928}], ids=str)
 def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(deploy_with_one_server, limit):
     """Idle clients hold every free descriptor and are evicted; the descriptor limit is never exceeded."""
     deployment = deploy_with_one_server(**limit)
@@ -307,7 +309,7 @@
     clients = [deployment.client() for _ in range(272)]
     idle_clients += [deployment.client() for _ in range(100)]
     send_open_lines(clients, "at once")
-    responses = Counter(client.line() for client in clients)
+    responses = Counter(client.read_line() for client in clients)
     descriptors_in_use = deployment.balancer.descriptors()
     for client in (*clients, *idle_clients):
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -34,24 +34,28 @@
 
 @pytest.mark.parametrize(
     "limit",
-    [{"limits": {"sockets": 128}}, {"files": 128}, {"files": 128, "settings": HEALTH_CHECK_SETTINGS}],
+    [
+        {"limits": {"sockets": 128}},
+        {"max_descriptors": 128},
+        {"max_descriptors": 128, "settings": HEALTH_CHECK_SETTINGS},
+    ],
     ids=str,
 )
 def test_process_at_its_descriptor_limit_switches_discovery_receives_a_drain_and_shuts_down(deploy, limit):
     deployment = deploy(**limit)
     for server in deployment.servers:
-        server.report = b"PONG inflight=1,x0=0.01\r\n"
-    wait_until(lambda: deployment.discovery.watches, "a watch")
+        server.load_report = b"PONG inflight=1,x0=0.01\r\n"
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
     deployment.discovery.close()  # discovery is down: calls fail
     wait_until(lambda: deployment.balancer.events("discovery_call_failed"), "a failed call")
     established, silent = fill_with_clients(deployment, 128)
     # With health checks, the reports of the servers show them as full earlier.
     assert len(established) >= (5 if "settings" in limit else 30)
     descriptor_counts = [deployment.balancer.descriptors()]
-    new_discovery = StubDiscovery([server.target() for server in deployment.servers])
+    new_discovery = StubDiscovery([server.endpoint_entry() for server in deployment.servers])
     try:
         deployment.balancer.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
-        wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
+        wait_until(lambda: new_discovery.watch_count, "a watch of the new discovery")
         descriptor_counts.append(deployment.balancer.descriptors())
         deployment.discovery = new_discovery
         deployment.drain(deployment.servers[0])
@@ -60,10 +64,10 @@
         thread = threading.Thread(target=lambda: exit_codes.append(deployment.balancer.terminate()))
         thread.start()
         for client in established:
-            assert client.rest() == b"MOVE\r\n"
+            assert client.read_to_end() == b"MOVE\r\n"
             client.close()
         for client in silent:
-            assert re.fullmatch(rb"BUSY( \d+)?\r\n|ERR\r\n", client.rest())
+            assert re.fullmatch(rb"BUSY( \d+)?\r\n|ERR\r\n", client.read_to_end())
             client.close()
         thread.join(TIMEOUT_SECONDS)
         assert exit_codes == [0] and max(descriptor_counts) <= 128
@@ -75,15 +79,15 @@
 
 def test_silent_clients_beyond_the_descriptor_limit_do_not_prevent_a_discovery_call(deploy):
     """They connect while discovery is down and stay connected."""
-    deployment = deploy(files=96)
-    wait_until(lambda: deployment.discovery.watches, "a watch")
+    deployment = deploy(max_descriptors=96)
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
     deployment.discovery.close()
     wait_until(lambda: len(deployment.balancer.events("discovery_call_failed")) > 1, "failed calls")
     silent = [deployment.client() for _ in range(300)]
-    new_discovery = StubDiscovery([server.target() for server in deployment.servers])
+    new_discovery = StubDiscovery([server.endpoint_entry() for server in deployment.servers])
     try:
         deployment.balancer.reload(discovery=f"{new_discovery.address[0]}:{new_discovery.address[1]}")
-        wait_until(lambda: new_discovery.watches, "a watch of the new discovery")
+        wait_until(lambda: new_discovery.watch_count, "a watch of the new discovery")
         with deployment.client() as client:
             assert client.open().startswith(b"UP ")
     finally:
@@ -96,7 +100,7 @@
 def test_reserved_descriptors_cover_an_idle_process_with_a_second_call_and_a_file(deploy):
     """An idle process holds the listener, the watch, the event loop, signals and the standard streams."""
     deployment = deploy()
-    wait_until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
     wait_until(
         lambda: deployment.balancer.descriptors() <= RESERVED_DESCRIPTORS - ACCEPT_BATCH - 2 - 2, "an idle process"
     )
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -64,12 +64,12 @@
         number = len(self.calls)
         self.calls.append(target)
         self.scripts[min(number, len(self.scripts) - 1)](self, connection)
-        self.over.wait()
+        self.closed.wait()
 
     def send_repeatedly(self, connection, data):
         """Send the same data every 10 ms, far more often than the silence timeout."""
         with suppress(OSError):
-            while not self.over.wait(0.01):
+            while not self.closed.wait(0.01):
                 connection.sendall(data)
 
 
@@ -566,9 +566,9 @@
 def test_program_applies_indented_lists_and_a_drain_in_one(deploy, monkeypatch):
     monkeypatch.setattr(
         StubDiscovery,
-        "_update",
+        "_format_update",
         lambda discovery, complete, targets: (
-            json.dumps({"rev": discovery.rev, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
+            json.dumps({"rev": discovery.revision, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
         ),
     )
     deployment = deploy()
@@ -584,7 +584,7 @@
     server = StubServer("s-0")
     old_server, new_server = ScriptedDiscovery(reject_call), ScriptedDiscovery(hang)
     settings = {**SETTINGS, "discovery": "pushed" if pushed else "on_request"}
-    balancer = BalancerProcess(tmp_path, old_server.address, [server.target()], settings=settings)
+    balancer = BalancerProcess(tmp_path, old_server.address, [server.endpoint_entry()], settings=settings)
     try:
         wait_until(lambda: len(old_server.calls) > 2, "calls")
         balancer.reload(discovery=f"{new_server.address[0]}:{new_server.address[1]}")
--- a/tests/test_events_by_stage.py
+++ b/tests/test_events_by_stage.py
@@ -44,8 +44,10 @@
         return gate
 
     async def accept_attempt(self):
-        self.server_connection, self.first_line = await trio.to_thread.run_sync(self.harness.servers[0].offered)
-        self.harness.servers[0].held = False  # the server answers further attempts
+        self.server_connection, self.first_line = await trio.to_thread.run_sync(
+            self.harness.servers[0].next_held_connection
+        )
+        self.harness.servers[0].hold_connections = False  # the server answers further attempts
 
 
 async def silent(request):
@@ -62,7 +64,7 @@
     gate = request.add_gate("connector._connect")
     request.client = await request.harness.send_open()
     await gate.reached.wait()
-    request.harness.servers[0].held = False
+    request.harness.servers[0].hold_connections = False
 
 
 async def attempt_sent(request):
@@ -97,13 +99,13 @@
     gate = request.add_gate("handler._finish")
     await attempt_sent(request)
     request.server_connection.sendall(b"BUSY\r\n")
-    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))  # no further attempt
+    request.harness.change_endpoints(request.harness.servers[0].endpoint_entry(state="leaving"))  # no further attempt
     await gate.reached.wait()
 
 
 async def lingering(request):
     await attempt_sent(request)
-    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))
+    request.harness.change_endpoints(request.harness.servers[0].endpoint_entry(state="leaving"))
     request.server_connection.sendall(b"BUSY\r\n")
     await request.client.read_line()
 
@@ -165,7 +167,7 @@
 
 
 async def server_drains(request):
-    request.harness.change_endpoints(request.harness.servers[0].target(state="leaving"))
+    request.harness.change_endpoints(request.harness.servers[0].endpoint_entry(state="leaving"))
 
 
 async def deadline_passes(request):
@@ -191,7 +193,7 @@
 def run_event_at_stage(stage, event, monkeypatch):
     """Cause an event at a stage, let everything continue, and check what the client received."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
     harness = FrontendHarness([server], connect_timeout=2.0)
 
     async def script(harness):
--- a/tests/test_idempotent_retries.py
+++ b/tests/test_idempotent_retries.py
@@ -25,9 +25,9 @@
     def __init__(self, request_class, zones=("surabaya", "surabaya"), cells=(0, 0)):
         self.servers = [StubServer(f"s-{i}") for i in range(len(zones))]
         for server in self.servers:
-            server.held = True
+            server.hold_connections = True
         targets = [
-            server.target(az=zone, pod_group=cell)
+            server.endpoint_entry(az=zone, pod_group=cell)
             for server, zone, cell in zip(self.servers, zones, cells, strict=True)
         ]
         self.harness = FrontendHarness(self.servers, request_classes=[request_class], targets=targets)
@@ -42,9 +42,9 @@
             client = await harness.send_open()
             await harness.wait_until(lambda: any(server.first_lines for server in self.servers))
             first_server = next(server for server in self.servers if server.first_lines)
-            connection, _ = await trio.to_thread.run_sync(first_server.offered)
+            connection, _ = await trio.to_thread.run_sync(first_server.next_held_connection)
             for server in self.servers:
-                server.held = False
+                server.hold_connections = False
             await failure(self, connection)
             self.response = await client.read_line()
             client.stream.socket.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,16 +16,18 @@
 def test_pushed_lists_are_watched_at_the_local_agent_and_again_after_it_fell_silent(deploy):
     """What the agent holds counts as known: without a watch, a server that is gone would get attempts forever."""
     deployment = deploy(settings={**SETTINGS, "discovery": "pushed"})
-    wait_until(lambda: deployment.discovery.watches, "a watch")
-    deployment.discovery.change(deployment.servers[0].target(state="leaving"))
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
+    deployment.discovery.change(deployment.servers[0].endpoint_entry(state="leaving"))
     wait_until(lambda: "draining" in str(deployment.balancer.events("endpoints_updated")), "the change")
     for number in range(4):
         with deployment.client() as client:
             assert client.open(f"c=test-run,d=2500,g={number}") == b"UP s-1\r\n"
-    deployment.discovery.mute = True
+    deployment.discovery.heartbeats_paused = True
     wait_until(lambda: deployment.balancer.events("discovery_call_failed"), "the silence timeout")
-    deployment.discovery.mute = False
-    deployment.discovery.change(deployment.servers[0].target(), deployment.servers[1].target(state="leaving"))
+    deployment.discovery.heartbeats_paused = False
+    deployment.discovery.change(
+        deployment.servers[0].endpoint_entry(), deployment.servers[1].endpoint_entry(state="leaving")
+    )
     wait_until(
         lambda: '["s-1", "draining"' in json.dumps(deployment.balancer.events("endpoints_updated")), "the change"
     )
@@ -41,7 +43,7 @@
 
 def test_servers_that_health_checks_report_as_loaded_by_others_get_no_attempts(deploy):
     deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
-    deployment.servers[0].report, deployment.servers[1].report = (
+    deployment.servers[0].load_report, deployment.servers[1].load_report = (
         b"PONG inflight=90,x0=0.84\r\n",
         b"PONG inflight=9,x0=0.10\r\n",
     )
@@ -49,7 +51,7 @@
         lambda: deployment.balancer.counts().get("health_checks_ok", 0) >= 4, "health checks with load reports"
     )
     # The health checks reuse their connection.
-    assert deployment.servers[0].probes >= 2 and len(deployment.servers[0].connections) <= 2
+    assert deployment.servers[0].health_check_count >= 2 and len(deployment.servers[0].connections) <= 2
     for number in range(3):  # each is closed once established
         with deployment.client() as client:
             assert client.open(f"c=test-run,t=acme,d=2500,g={number}") == b"UP s-1\r\n"
@@ -70,7 +72,7 @@
 def test_health_check_responses_that_are_invalid_partial_repeated_or_missing_do_not_affect_requests(deploy, report):
     deployment = deploy(settings=SETTINGS_WITH_HEALTH_CHECKS)
     for server in deployment.servers:
-        server.report = report
+        server.load_report = report
     wait_until(lambda: deployment.balancer.counts().get("health_checks_started", 0) >= 4, "health checks")
     with deployment.client() as client:
         assert client.open("c=test-run,t=,d=2500,g=5").startswith(b"UP s-")
@@ -81,11 +83,11 @@
     deployment = deploy(b"UP r\r\nLOAD 1500.5\r\n")
     with deployment.client() as client:
         assert client.open("c=draft-save,d=2500,g=5c0f6e1a2b3d4c59,x=1") == b"UP s-0\r\n"
-        assert client.line() == b"LOAD 1500.5\r\n"  # read by the balancer and still passed on
+        assert client.read_line() == b"LOAD 1500.5\r\n"  # read by the balancer and still passed on
         assert client.echo(b"M 1 f79c") == b"M 1 f79c\r\n"
         client.send(b"QUIT\r\n")
-        assert client.line() == b"BYE\r\n"
-        assert client.line() == b""
+        assert client.read_line() == b"BYE\r\n"
+        assert client.read_line() == b""
     (first_line,) = deployment.servers[0].first_lines
     head, _, tail = first_line.partition(b"d=")
     time_left, _, rest = tail.partition(b",")
@@ -139,11 +141,11 @@
             connection.setblocking(False)
             connection.connect_ex(full_listener.getsockname())
         deployment.discovery.change(
-            deployment.servers[0].target(endpoint=f"127.0.0.1:{full_listener.getsockname()[1]}")
+            deployment.servers[0].endpoint_entry(endpoint=f"127.0.0.1:{full_listener.getsockname()[1]}")
         )
         wait_until(
             lambda: (
-                deployment.discovery.watches
+                deployment.discovery.watch_count
                 and any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated"))
             ),
             "the change",
@@ -162,7 +164,7 @@
         client.sock.settimeout(TIMEOUT_SECONDS)
         response = client.open("c=test-run,d=100000")
         assert response.startswith(b"BUSY ") and 0 < int(response[5:]) <= 1000
-        assert client.line() == b""
+        assert client.read_line() == b""
     assert len(deployment.servers[0].first_lines) <= 6
     assert deployment.balancer.counts()["rejected_attempts_exhausted"] == 1
     assert deployment.balancer.events("request")[0]["reject_reason"] == "attempts_exhausted"
@@ -193,7 +195,7 @@
     deployment = deploy()
     with deployment.client() as invalid, deployment.client() as valid:
         invalid.send(line)
-        assert invalid.line() == b"ERR\r\n"
+        assert invalid.read_line() == b"ERR\r\n"
         assert valid.open().startswith(b"UP ")
     assert "internal_errors" not in deployment.balancer.counts()
 
@@ -204,8 +206,8 @@
         client.open()
         client.send(b"last words\r\n")
         client.sock.shutdown(socket.SHUT_WR)
-        assert client.line() == b"last words\r\n"
-        assert client.line() == b""
+        assert client.read_line() == b"last words\r\n"
+        assert client.read_line() == b""
 
 
 def test_connections_end_when_their_server_dies(deploy):
@@ -214,24 +216,24 @@
         client.open()
         deployment.servers[0].close()
         with suppress(ConnectionResetError):
-            assert client.line() == b""
+            assert client.read_line() == b""
 
 
 def test_client_of_a_server_that_returns_no_lines_is_migrated(deploy):
     deployment = deploy(b"UP r\r\n")
     with deployment.client() as client:
         client.open()
-        deployment.servers[0].mute = True
+        deployment.servers[0].discard_lines = True
         client.send(b"M 1\r\n")
         start = time.monotonic()
-        assert client.line() == b"MOVE\r\n" and client.line() == b""
+        assert client.read_line() == b"MOVE\r\n" and client.read_line() == b""
         assert time.monotonic() - start > 2
 
 
 def test_draining_server_gets_no_new_connections_until_it_is_ready_again(deploy):
     deployment = deploy()
-    wait_until(lambda: deployment.discovery.watches, "a watch")
-    deployment.discovery.change(deployment.servers[0].target(state="leaving"))
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
+    deployment.discovery.change(deployment.servers[0].endpoint_entry(state="leaving"))
     wait_until(
         lambda: any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated")), "the change"
     )
@@ -239,7 +241,7 @@
         with deployment.client() as client:
             assert client.open() == b"UP s-1\r\n"
     deployment.discovery.change(
-        deployment.servers[0].target(state="active"), deployment.servers[1].target(state="left")
+        deployment.servers[0].endpoint_entry(state="active"), deployment.servers[1].endpoint_entry(state="left")
     )
     wait_until(
         lambda: any(event["revision"] == 3 for event in deployment.balancer.events("endpoints_updated")),
@@ -251,10 +253,10 @@
 
 def test_watch_that_is_rejected_or_falls_silent_is_opened_again(deploy):
     deployment = deploy()
-    deployment.discovery.refuse = 2
-    wait_until(lambda: deployment.discovery.watches, "a watch after rejected calls")
-    deployment.discovery.mute = True  # like a machine that has vanished
-    wait_until(lambda: deployment.discovery.watches > 1, "a second watch")
+    deployment.discovery.calls_to_reject = 2
+    wait_until(lambda: deployment.discovery.watch_count, "a watch after rejected calls")
+    deployment.discovery.heartbeats_paused = True  # like a machine that has vanished
+    wait_until(lambda: deployment.discovery.watch_count > 1, "a second watch")
 
 
 def test_adopted_connections_go_to_the_server_that_they_name(deploy):
@@ -277,7 +279,7 @@
     with deployment.client() as late_client:
         assert late_client.open().startswith(b"BUSY ")
     for client in established:
-        assert client.line() == b"MOVE\r\n" and client.line() == b""
+        assert client.read_line() == b"MOVE\r\n" and client.read_line() == b""
         client.close()
     thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
@@ -285,7 +287,7 @@
     assert counters["counts"]["connections_migrated"] == 5
 
 
-@pytest.mark.parametrize("limit", [{"limits": {"sockets": 80}}, {"files": 80}])
+@pytest.mark.parametrize("limit", [{"limits": {"sockets": 80}}, {"max_descriptors": 80}])
 def test_requests_beyond_the_descriptor_limit_are_rejected_until_connections_close(deploy, limit):
     deployment = deploy(**limit)
     clients = [deployment.client() for _ in range(45)]
@@ -305,7 +307,7 @@
 
 
 def test_connections_beyond_the_descriptor_limit_wait_in_the_accept_queue(deploy):
-    deployment = deploy(files=64)
+    deployment = deploy(max_descriptors=64)
     idle_clients = [deployment.client() for _ in range(100)]  # without a request, so they get no response
     for client in idle_clients:
         client.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -28,12 +28,12 @@
     def __init__(self, folder, **config):
         self.servers = [StubServer("s-0"), StubServer("s-1")]
         self.old_discovery, self.new_discovery = (
-            StubDiscovery([server.target() for server in self.servers]) for _ in range(2)
+            StubDiscovery([server.endpoint_entry() for server in self.servers]) for _ in range(2)
         )
         self.balancer = BalancerProcess(
-            folder, self.old_discovery.address, [server.target() for server in self.servers], **config
+            folder, self.old_discovery.address, [server.endpoint_entry() for server in self.servers], **config
         )
-        wait_until(lambda: self.old_discovery.watches or self.old_discovery.refuse, "the first watch")
+        wait_until(lambda: self.old_discovery.watch_count or self.old_discovery.calls_to_reject, "the first watch")
 
     @property
     def new_address(self):
@@ -63,9 +63,9 @@
     with Client(deployment.balancer.address) as established:
         assert established.open().startswith(b"UP ")
         assert deployment.balancer.reload(discovery=deployment.new_address)["changed"] == ["discovery"]
-        wait_until(lambda: deployment.new_discovery.watches, "a watch at the new address")
+        wait_until(lambda: deployment.new_discovery.watch_count, "a watch at the new address")
         assert established.echo(b"M 1") == b"M 1\r\n"
-        deployment.new_discovery.change(deployment.servers[0].target(state="leaving"))
+        deployment.new_discovery.change(deployment.servers[0].endpoint_entry(state="leaving"))
         wait_until(
             lambda: any(event["revision"] == 2 for event in deployment.balancer.events("endpoints_updated")),
             "an update from the new address",
@@ -83,7 +83,7 @@
     deploy_with_two_discoveries,
 ):
     deployment = deploy_with_two_discoveries()
-    valid_config = dict(deployment.balancer.body)
+    valid_config = dict(deployment.balancer.config)
     for change, field in (
         ({"discovery": "nowhere"}, "discovery"),
         ({"limits": {"sockets": 1}}, "limits.sockets"),
@@ -100,17 +100,17 @@
     )
     with Client(deployment.balancer.address) as client:
         assert client.open().startswith(b"UP ")
-    assert deployment.old_discovery.watches == 1  # the watch was not interrupted
+    assert deployment.old_discovery.watch_count == 1  # the watch was not interrupted
     assert deployment.balancer.reload(**valid_config)["changed"] == []
     assert deployment.balancer.counts()["reloads_rejected"] == 5
 
 
 def test_discovery_address_changes_while_a_call_is_in_flight_and_a_second_reload_follows(deploy_with_two_discoveries):
     deployment = deploy_with_two_discoveries()
-    deployment.old_discovery.mute = True  # the old service keeps its watch open without heartbeats
+    deployment.old_discovery.heartbeats_paused = True  # the old service keeps its watch open without heartbeats
     deployment.balancer.reload(discovery="127.0.0.1:9")  # no process listens at this address
     deployment.balancer.reload(discovery=deployment.new_address)
-    wait_until(lambda: deployment.new_discovery.watches, "a watch at the last address")
+    wait_until(lambda: deployment.new_discovery.watch_count, "a watch at the last address")
     # The watch must not wait for a backoff, which a failure reported to the driver would have started.
     assert deployment.balancer.process.poll() is None
 
@@ -124,7 +124,7 @@
         thread.start()
         wait_until(lambda: deployment.balancer.events("shutdown_started"), "the start of the shutdown")
         deployment.balancer.reload(discovery=deployment.new_address)
-        assert client.line() == b"MOVE\r\n"
+        assert client.read_line() == b"MOVE\r\n"
     thread.join(TIMEOUT_SECONDS)
     assert exit_statuses == [0]
 
@@ -182,7 +182,7 @@
 def test_new_address_that_rejects_at_first_is_called_again_and_reports_no_failure():
     async def main():
         old_discovery, new_discovery = StubDiscovery([]), StubDiscovery([])
-        new_discovery.refuse = 3
+        new_discovery.calls_to_reject = 3
         driver, watcher = create_watcher(old_discovery.address)
         with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
@@ -190,9 +190,9 @@
                 while not driver.scopes:
                     await trio.sleep(0.01)
                 watcher.change_address(new_discovery.address)
-                while not new_discovery.watches:
+                while not new_discovery.watch_count:
                     await trio.sleep(0.01)
-                assert old_discovery.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                assert old_discovery.watch_count == 1 and EndpointUpdateScope.FAILED not in driver.scopes
                 nursery.cancel_scope.cancel()
                 new_discovery.close()
                 old_discovery.close()
@@ -212,7 +212,7 @@
                 while not driver.scopes:
                     await trio.sleep(0.01)
                 await watcher.watch()
-                assert discovery.watches == 1 and EndpointUpdateScope.FAILED not in driver.scopes
+                assert discovery.watch_count == 1 and EndpointUpdateScope.FAILED not in driver.scopes
                 nursery.cancel_scope.cancel()
                 discovery.close()
 
@@ -222,7 +222,7 @@
 def test_sighup_before_the_program_is_ready_is_delivered_once_it_is(tmp_path):
     """The signal receiver is installed before the first PONG, and delivers a signal that was sent earlier."""
     server, discovery = StubServer("s-0"), StubDiscovery([])
-    balancer = BalancerProcess(tmp_path, discovery.address, [server.target()])
+    balancer = BalancerProcess(tmp_path, discovery.address, [server.endpoint_entry()])
     try:
         for _ in range(3):
             balancer.kill()
--- a/tests/test_response_delivery.py
+++ b/tests/test_response_delivery.py
@@ -16,11 +16,11 @@
 def test_client_that_still_sends_after_the_server_ended_gets_the_bye_without_a_reset():
     """Guards against a plain close while lines of the client are unread, which would reset the connection."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         connection.sendall(b"UP s-0\r\n")
         assert await client.read_line() == b"UP s-0\r\n"
         connection.sendall(b"BYE\r\n")
@@ -125,11 +125,11 @@
 
 def test_migration_after_sending_to_the_client_ended_sends_no_move():
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         connection.sendall(b"UP s-0\r\n")
         await client.read_line()
         (state,) = harness.frontend.open_connections.values()
@@ -153,12 +153,12 @@
 @pytest.mark.parametrize("response", [b"LOAD 1\r\n" * 2000, b"x" * 4097, b"UP s-0", b"UP " + b"x" * 4095 + b"\r\n"])
 def test_endless_or_too_long_server_response_fails_the_attempt_and_a_second_one_succeeds(response):
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         connection.sendall(response)
         if response == b"UP s-0":
             connection.shutdown(1)
@@ -172,11 +172,11 @@
 
 def test_server_response_after_the_attempt_timed_out_is_not_passed_on():
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open("c=test-run,d=300")
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         assert (await client.read_line()).startswith(b"BUSY")
         connection.sendall(b"UP s-0\r\n")
         got = await client.read_to_end()
@@ -190,11 +190,11 @@
 def test_event_loop_lag_is_subtracted_from_the_time_left_of_a_request():
     """The time of a request counts from the last byte of its line, also if the process reads the line late."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def script(harness):
         first = await harness.send_open()
-        await trio.to_thread.run_sync(server.offered)
+        await trio.to_thread.run_sync(server.next_held_connection)
         await harness.wait_until(lambda: harness.frontend.pending_requests)
         client = await harness.connect()
         await harness.wait_until(lambda: harness.frontend.slots.open == 2)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 import trio
 from frontend_harness import FrontendHarness
 from helpers import SETTINGS as CORE_SETTINGS
-from standins import SETTINGS, TIMEOUT_SECONDS, Client, StubServer, wait_until
+from standins import SETTINGS, TIMEOUT_SECONDS, StubServer, wait_until
 
 from aspensaddle.daemon.graceful_shutdown import (
     KILL_MARGIN_SECONDS,
@@ -53,21 +53,20 @@
 
 
 def open_attempt(deployment, fields="c=test-run,d=900"):
-    """Return a client whose attempt waits at a held server, and the server's socket of the attempt."""
+    """Return a client whose attempt a server holds, and the server's socket of the attempt."""
     client = deployment.client()
-    Client.count += 1
-    client.send(f"OPEN {Client.count:016x} 7f3a9c21e0b4d655 {fields}\r\n".encode())
-    held = wait_until(lambda: [server for server in deployment.servers if not server.offers.empty()], "the attempt")[
-        0
-    ]
-    return client, held.offered()[0]
+    client.send_open(fields)
+    attempted_server = wait_until(
+        lambda: [server for server in deployment.servers if not server.held_connections.empty()], "the attempt"
+    )[0]
+    return client, attempted_server.next_held_connection()[0]
 
 
 @pytest.mark.parametrize("deadline", [0.9, 3.0])
 def test_sigterm_in_any_stage_of_a_request_leads_to_a_complete_response(deploy, deadline):
     deployment = deploy(settings={**SETTINGS, "lanes": classes_with_deadline(deadline)})
     for server in deployment.servers:
-        server.held = True
+        server.hold_connections = True
     idle, partial = deployment.client(), deployment.client()
     partial.send(b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=te")
     without_response, _ = open_attempt(deployment)  # no server responds to its attempt
@@ -81,8 +80,8 @@
     awaiting_line, awaiting_line_server = open_attempt(deployment)
     awaiting_line_server.sendall(b"UP s-x\r\n")
     assert (
-        established.line() == within_line.line() == awaiting_line.line() == b"UP s-x\r\n"
-        and within_line.line() == b"M 1\r\n"
+        established.read_line() == within_line.read_line() == awaiting_line.read_line() == b"UP s-x\r\n"
+        and within_line.read_line() == b"M 1\r\n"
     )
     awaiting_line.send(b"M 7\r\n")
     assert awaiting_line_server.recv(100) == b"M 7\r\n"
@@ -96,11 +95,11 @@
     new, new_idle = deployment.client(), deployment.client()
     assert new.open().startswith(b"BUSY")
     for client in (idle, partial, new_idle, without_response):
-        assert re.fullmatch(rb"BUSY( \d+)?\r\n", client.rest())
+        assert re.fullmatch(rb"BUSY( \d+)?\r\n", client.read_to_end())
     for client in (established, within_line, awaiting_line):
-        assert client.rest() == b"MOVE\r\n"
+        assert client.read_to_end() == b"MOVE\r\n"
     for client in (responded_later, partly_responded):
-        assert client.rest() == b"UP s-x\r\nMOVE\r\n"
+        assert client.read_to_end() == b"UP s-x\r\nMOVE\r\n"
     thread.join(TIMEOUT_SECONDS)
     assert (
         exit_statuses == [0] and "internal_errors" not in deployment.balancer.events("counters_reported")[0]["counts"]
@@ -116,7 +115,7 @@
     thread = threading.Thread(target=deployment.balancer.terminate)
     thread.start()
     for client in established:
-        assert client.rest() == b"MOVE\r\n"
+        assert client.read_to_end() == b"MOVE\r\n"
         client.close()
     thread.join(TIMEOUT_SECONDS)
     assert deployment.balancer.process.returncode == 0
@@ -163,11 +162,11 @@
         }
     )
     for server in deployment.servers:
-        server.held = True
+        server.hold_connections = True
     clients = {name: open_attempt(deployment, f"c={name},d=30000")[0] for name in RESPONSES_BY_CLASS}
     assert deployment.balancer.terminate() == 0
     for name, (_, response) in RESPONSES_BY_CLASS.items():
-        assert re.fullmatch(response + rb"( \d+)?\r\n", clients[name].rest()), name
+        assert re.fullmatch(response + rb"( \d+)?\r\n", clients[name].read_to_end()), name
     reject_reasons = [event["reject_reason"] for event in deployment.balancer.events("request")]
     assert (
         reject_reasons.count("shutting_down")
@@ -178,7 +177,7 @@
 
 def test_drain_and_reload_during_the_shutdown_do_not_delay_it(deploy):
     deployment = deploy()
-    wait_until(lambda: deployment.discovery.watches, "a watch")
+    wait_until(lambda: deployment.discovery.watch_count, "a watch")
     client = deployment.client()
     assert client.open().startswith(b"UP ")
     deployment.balancer.process.send_signal(signal.SIGTERM)
@@ -186,7 +185,7 @@
     deployment.drain(deployment.servers[0])
     deployment.balancer.process.send_signal(signal.SIGHUP)
     deployment.balancer.process.send_signal(signal.SIGTERM)
-    assert client.rest() == b"MOVE\r\n"
+    assert client.read_to_end() == b"MOVE\r\n"
     assert (
         deployment.balancer.process.wait(TIMEOUT_SECONDS) == 0
         and len(deployment.balancer.events("shutdown_started")) == 1
@@ -199,10 +198,10 @@
     idle_clients = [deployment.client() for _ in range(10)]
     deployment.balancer.process.send_signal(signal.SIGTERM)
     for number, client in enumerate(idle_clients):
-        assert client.line().startswith(b"BUSY")
+        assert client.read_line().startswith(b"BUSY")
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=900\r\n" % number)
         client.sock.shutdown(socket.SHUT_WR)
-        assert client.rest() == b""
+        assert client.read_to_end() == b""
     assert deployment.balancer.process.wait(TIMEOUT_SECONDS) == 0
     assert not any(server.first_lines for server in deployment.servers)
 
@@ -227,11 +226,11 @@
 def test_request_in_flight_is_waited_for_until_its_response_is_sent():
     """A server's response after the start of migration still establishes a connection, which is then migrated."""
     server = StubServer("s-0")
-    server.held = True
+    server.hold_connections = True
 
     async def scenario(harness):
         peer = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         assert harness.frontend.unfinished_connections == harness.frontend.slots.active == 1
         harness.nursery.start_soon(harness.terminate)
         await harness.wait_until(lambda: harness.frontend.migrating_all)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -224,7 +224,9 @@
     try:
         for name in nodes:
             (tmp_path / name).mkdir()
-            balancers.append(BalancerProcess(tmp_path / name, ("127.0.0.1", 9), [], store=store_settings, name=name))
+            balancers.append(
+                BalancerProcess(tmp_path / name, ("127.0.0.1", 9), [], store_toml=store_settings, name=name)
+            )
         settings_file = tmp_path / "n0" / "store.toml"
 
         def serves(balancer):
@@ -232,7 +234,7 @@
                 return client.open("c=test-run,d=1000") == b"UP s-9\r\n"
 
         assert not serves(balancers[0])  # no server is known yet
-        assert run_store_command(settings_file, "put", "runner/s-9", json.dumps(server.target())) == (0, "")
+        assert run_store_command(settings_file, "put", "runner/s-9", json.dumps(server.endpoint_entry())) == (0, "")
         request_classes = [{**SETTINGS["lanes"][0], "name": "renamed"}, *SETTINGS["lanes"]]
         assert run_store_command(
             settings_file, "put", "config/settings", json.dumps({**SETTINGS, "lanes": request_classes})
