--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -101,7 +101,7 @@
         servers: list[StubServer],
         sockets: int = 512,
         request_classes: list[dict[str, Any]] | None = None,
-        targets: list[dict[str, Any]] | None = None,
+        entries: list[dict[str, Any]] | None = None,
         **limits: Any,
     ) -> None:
         settings = parse_settings(
@@ -129,16 +129,16 @@
             self.config, self.driver, self.connector, self.endpoints, self.counters, log
         )
         self.listener = Listener(("127.0.0.1", 0))
-        self.driver.start(self.apply_endpoint_list(*(targets or [stand_in.endpoint_entry() for stand_in in servers])))
+        self.driver.start(self.apply_endpoint_list(*(entries or [stand_in.endpoint_entry() for stand_in in servers])))
         self.request_count = 0
 
-    def apply_endpoint_list(self, *targets: dict[str, Any]) -> Any:
+    def apply_endpoint_list(self, *entries: dict[str, Any]) -> Any:
         """Apply a complete endpoint list to the registry; return the endpoints."""
-        return self.endpoints.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(targets)}))
+        return self.endpoints.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(entries)}))
 
-    def change_endpoints(self, *targets: dict[str, Any]) -> None:
+    def change_endpoints(self, *entries: dict[str, Any]) -> None:
         """Apply an update of some endpoints and report it to the driver."""
-        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(targets)})
+        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(entries)})
         self.driver.update_endpoints(update.scope, self.endpoints.apply(update))
 
     async def connect(self) -> RecordingClient:
--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -50,7 +50,7 @@
     requests: dict[str, tuple[int, float]] = {}  # class index and deadline
     attempt_started_at: dict[str, float] = {}
     attempt_counts: dict[str, int] = {}
-    answered: set[str] = set()
+    ended: set[str] = set()  # requests that were rejected, failed or finished
     established: set[str] = set()
     actions_so_far = []
 
@@ -59,7 +59,7 @@
             actions_so_far.append(action)
             if isinstance(action, StartAttempt):
                 class_index, deadline = requests[action.request_id]
-                assert action.request_id not in answered and action.request_id not in attempts_in_progress, (
+                assert action.request_id not in ended and action.request_id not in attempts_in_progress, (
                     "one attempt at a time"
                 )
                 assert server_states[action.server] is ServerState.READY
@@ -77,14 +77,14 @@
                         assert scope is DeduplicationScope.ALL or same_zone or previous_server == action.server
                 attempts_in_progress[action.request_id], attempt_started_at[action.request_id] = action, harness.now
             elif isinstance(action, (Reject, Fail)):
-                assert action.request_id not in answered and action.request_id not in attempts_in_progress
+                assert action.request_id not in ended and action.request_id not in attempts_in_progress
                 if isinstance(action, Reject) and action.request_id in possibly_executed:
                     assert (
                         requests[action.request_id][0] == IDEMPOTENT
                         or requests[action.request_id][0] == DEDUPLICATED
                         and scope is DeduplicationScope.ALL
                     )
-                answered.add(action.request_id)
+                ended.add(action.request_id)
 
     def end(request_id: str, outcome: Outcome) -> None:
         attempt = attempts_in_progress.pop(request_id)
@@ -92,7 +92,7 @@
         if not outcome.known_not_executed:
             possibly_executed.setdefault(request_id, (attempt.server, attempt_started_at[request_id]))
         if finished:
-            answered.add(request_id)
+            ended.add(request_id)
         check_actions(
             harness.balancer.handle(
                 harness.now,
@@ -143,7 +143,7 @@
         if request_id not in established:
             harness.now = max(harness.now, requests[request_id][1])
             end(request_id, Outcome.TIMED_OUT)
-    assert set(requests) == answered | established, "each request has its answer or an established connection"
+    assert set(requests) == ended | established, "each request has ended or has an established connection"
     for record in harness.balancer.servers.values():
         assert record.load == pytest.approx(
             sum(1 for i in attempts_in_progress if attempts_in_progress[i].server == record.id), abs=1e-6
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -104,7 +104,7 @@
         await close_client(client)
         await harness.wait_until_all_closed()
 
-    FrontendHarness([server], targets=[{**server.endpoint_entry(), "uid": "s-other"}]).run(script)
+    FrontendHarness([server], entries=[{**server.endpoint_entry(), "uid": "s-other"}]).run(script)
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
@@ -135,7 +135,7 @@
 def test_client_that_disconnects_ends_its_adoption(departure, adoption_stage):
     server = StubServer("s-0", b"BUSY\r\n")
     server.hold_connections = adoption_stage == "attempt"
-    targets = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
+    entries = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -149,7 +149,7 @@
         await harness.wait_until_all_closed()
         assert adoption_result(harness) == "client_disconnected"
 
-    FrontendHarness([server], targets=targets).run(script)
+    FrontendHarness([server], entries=entries).run(script)
     assert len(server.first_lines) == (adoption_stage != "unlisted")
 
 
@@ -157,7 +157,7 @@
 def test_shutdown_ends_an_adoption_at_once_with_busy(adoption_stage):
     server = StubServer("s-0", b"BUSY\r\n")
     server.hold_connections = adoption_stage == "attempt"
-    targets = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
+    entries = [{**server.endpoint_entry(), "uid": "s-other"}] if adoption_stage == "unlisted" else None
 
     async def script(harness):
         client = await harness.send_open(ADOPTION_FIELDS)
@@ -172,7 +172,7 @@
         await close_client(client)
         await harness.wait_until_all_closed()
 
-    FrontendHarness([server], targets=targets).run(script)
+    FrontendHarness([server], entries=entries).run(script)
 
 
 def test_second_adoption_under_the_same_id_gets_an_error():
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import REQUEST_CLASS, SETTINGS, BalancerHarness, make_endpoint
 from hypothesis import given
-from hypothesis import settings as profile
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from load_report_harness import report_load
 from lock_step import BALANCER_COUNTS, HUNDREDS_OF_BALANCERS, NOW, RULES, DiscoveryHarness, listed_target
@@ -78,7 +78,7 @@
     ],
 )
 @pytest.mark.parametrize("weight", [0.0, 1.0])
-def test_extreme_slow_start_settings_leave_every_request_answered(rules, weight):
+def test_every_request_is_placed_or_rejected_under_extreme_slow_start_settings(rules, weight):
     """All servers are warming up and send no load reports. The changed settings let warm servers warm up again."""
     harness = BalancerHarness(
         [make_endpoint(n, weight=weight, started_at=1000.0) for n in range(3)],
@@ -96,8 +96,8 @@
     "servers", [0, [make_endpoint(1, state=ServerState.DRAINING)], [make_endpoint(1, state=GONE)]]
 )
 def test_request_is_rejected_at_once_without_a_ready_server(servers):
-    (answer,) = BalancerHarness(servers).submit_request()
-    assert isinstance(answer, Reject) and answer.reason is RejectReason.NO_AVAILABLE_SERVER
+    (action,) = BalancerHarness(servers).submit_request()
+    assert isinstance(action, Reject) and action.reason is RejectReason.NO_AVAILABLE_SERVER
 
 
 # Without a seed, a derandomized test draws its cases by the hash of its source, and any edit would change them.
@@ -122,10 +122,10 @@
 
 # The seed keeps the cases that were drawn before the source of the test changed.
 @hypothesis.seed(0x8A5DE85DD9936D52DD28BE2BDCD092A227DCDE3C2551B5ECFCA537EF3CE75E765D9C5F4C373AD206F3D7220A104DD163)
-@profile(max_examples=25)
+@hypothesis_settings(max_examples=25)
 @given(deployments, st.integers(0, 10**6))
-def test_any_deployment_answers_all_and_spreads_better_than_chance(settings, seed):
-    """Each request gets one answer after at most six attempts, none of them at a draining server.
+def test_any_deployment_places_or_rejects_each_request_and_spreads_load_better_than_random_placement(settings, seed):
+    """Each request is placed or gets one response after at most six attempts, none at a draining server.
 
     The highest load per core speed is at most 1.25 times that under random placement.
     """
@@ -147,34 +147,34 @@
         if step == 120:
             for other in harnesses:
                 other.withdraw_server(0, ServerState.DRAINING)
-        (answer,) = harness.submit_request(
+        (action,) = harness.submit_request(
             class_index=rng.randrange(len(settings.classes)),
             tenant=rng.randrange(-1, 45),
             session_group=rng.randrange(12) if settings.session_groups else None,
         )
         attempts = 1
-        while isinstance(answer, StartAttempt) and rng.random() < 0.1:
-            assert not (answer.server == 0 and step >= 120)
-            (answer,) = harness.end(
-                answer, rng.choice([Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.CONNECTION_LOST])
+        while isinstance(action, StartAttempt) and rng.random() < 0.1:
+            assert not (action.server == 0 and step >= 120)
+            (action,) = harness.end(
+                action, rng.choice([Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.CONNECTION_LOST])
             )
             attempts += 1
         assert attempts <= 7 and (
-            isinstance(answer, StartAttempt) or answer.request_id not in harness.balancer.requests
+            isinstance(action, StartAttempt) or action.request_id not in harness.balancer.requests
         )
-        if isinstance(answer, StartAttempt):
-            harness.establish(answer)
-            load[answer.server] += 0.01
+        if isinstance(action, StartAttempt):
+            harness.establish(action)
+            load[action.server] += 0.01
             random_load[rng.randrange(servers)] += 0.01
         if step % 24 == 23:
             for other in harnesses:
-                for action in other.tick(0.5):
-                    if isinstance(action, CheckHealth):
+                for tick_action in other.tick(0.5):
+                    if isinstance(tick_action, CheckHealth):
                         report_load(
                             other,
-                            action.server,
-                            load[action.server] / speeds[action.server],
-                            100 * load[action.server],
+                            tick_action.server,
+                            load[tick_action.server] / speeds[tick_action.server],
+                            100 * load[tick_action.server],
                         )
     if not settings.session_groups and settings.balancer_count <= 3 and not settings.tenant_connection_quotas:
         assert max(
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -27,18 +27,19 @@
 
 @pytest.fixture
 def deploy_with_one_server(tmp_path):
-    made = []
+    """Return a function that makes a balancer process with one server; the result has the server as `server`."""
+    parts = []
 
     def make(**config):
         server = StubServer("s-0")
         discovery = StubDiscovery([server.endpoint_entry()])
-        made.extend(
+        parts.extend(
             (server, discovery, BalancerProcess(tmp_path, discovery.address, [server.endpoint_entry()], **config))
         )
-        return SimpleNamespace(server=server, balancer=made[-1], client=lambda: Client(made[-1].address))
+        return SimpleNamespace(server=server, balancer=parts[-1], client=lambda: Client(parts[-1].address))
 
     yield make
-    for part in reversed(made):
+    for part in reversed(parts):
         (part.kill if isinstance(part, BalancerProcess) else part.close)()
 
 
--- a/tests/test_events_by_stage.py
+++ b/tests/test_events_by_stage.py
@@ -47,7 +47,7 @@
         self.server_connection, self.first_line = await trio.to_thread.run_sync(
             self.harness.servers[0].next_held_connection
         )
-        self.harness.servers[0].hold_connections = False  # the server answers further attempts
+        self.harness.servers[0].hold_connections = False  # the server responds to further attempts
 
 
 async def silent(request):
--- a/tests/test_idempotent_retries.py
+++ b/tests/test_idempotent_retries.py
@@ -26,11 +26,11 @@
         self.servers = [StubServer(f"s-{i}") for i in range(len(zones))]
         for server in self.servers:
             server.hold_connections = True
-        targets = [
+        entries = [
             server.endpoint_entry(az=zone, pod_group=cell)
             for server, zone, cell in zip(self.servers, zones, cells, strict=True)
         ]
-        self.harness = FrontendHarness(self.servers, request_classes=[request_class], targets=targets)
+        self.harness = FrontendHarness(self.servers, request_classes=[request_class], entries=entries)
         self.response, self.clock_offset = b"", 0.0
         clock = self.harness.driver._clock
         self.harness.driver._clock = lambda: clock() + self.clock_offset
@@ -125,7 +125,7 @@
     ids=str,
 )
 def test_deduplication_window_that_ends_while_a_retry_connects_prevents_its_first_byte(request_class, expected):
-    """Guards against checking only the server at that point, since the retry was decided within the window."""
+    """The window had not ended when the retry was decided, so the check after the connect must cover it again."""
 
     async def failure(scenario, connection):
         gate = Gate()
@@ -155,7 +155,7 @@
 
 
 def test_request_whose_connect_takes_too_long_is_rejected_as_not_executed():
-    """Guards against failing a request that must not be repeated as if it had been sent."""
+    """Guards against failing such a request as if it had been sent; the client may retry what was not executed."""
 
     async def script(harness):
         gate = Gate()
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -175,7 +175,7 @@
             return False
 
     try:
-        wait_until(serves, "the imported configuration serves")
+        wait_until(serves, "a connection under the imported configuration")
     finally:
         program.kill()
         program.wait(TIMEOUT_SECONDS)
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -94,8 +94,8 @@
         if not step % 10:
             harness.tick(0.0)
         harness.now += 0.1
-        answer = harness.finish_request()
-        rejected_in_a_row = 0 if isinstance(answer, StartAttempt) else rejected_in_a_row + 1
+        final_action = harness.finish_request()
+        rejected_in_a_row = 0 if isinstance(final_action, StartAttempt) else rejected_in_a_row + 1
         assert rejected_in_a_row < 40
-        if isinstance(answer, StartAttempt):
-            harness.end(answer, finished=True)
+        if isinstance(final_action, StartAttempt):
+            harness.end(final_action, finished=True)
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -184,9 +184,9 @@
     assert (heavy.request_id in migrated) is migrates and not migrated & {
         attempt.request_id for attempt in light if attempt.server % 3
     }
-    answers = [harness.submit_request(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
+    actions = [harness.submit_request(load_hint=0.02, reconnecting=True)[0] for _ in range(200)]
     rejected_reconnects = sum(
-        isinstance(action, Reject) and action.reason is RejectReason.RETRY_STORM for action in answers
+        isinstance(action, Reject) and action.reason is RejectReason.RETRY_STORM for action in actions
     )
     assert (60 <= rejected_reconnects <= 150) if migrates else not rejected_reconnects
     assert not any(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program as a process, tested through its sockets."""
+"""The balancer as a process, tested through its sockets."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 def test_pushed_lists_are_watched_at_the_local_agent_and_again_after_it_fell_silent(deploy):
-    """What the agent holds counts as known: without a watch, a server that is gone would get attempts forever."""
+    """The agent's list counts as up to date, so without a watch a server that is gone would get attempts forever."""
     deployment = deploy(settings={**SETTINGS, "discovery": "pushed"})
     wait_until(lambda: deployment.discovery.watch_count, "a watch")
     deployment.discovery.change(deployment.servers[0].endpoint_entry(state="leaving"))
@@ -90,8 +90,8 @@
         assert client.read_line() == b""
     (first_line,) = deployment.servers[0].first_lines
     head, _, tail = first_line.partition(b"d=")
-    time_left, _, rest = tail.partition(b",")
-    assert head.endswith(b" 7f3a9c21e0b4d655 c=draft-save,") and rest == b"g=5c0f6e1a2b3d4c59,x=1\r\n"
+    time_left, _, fields_after = tail.partition(b",")
+    assert head.endswith(b" 7f3a9c21e0b4d655 c=draft-save,") and fields_after == b"g=5c0f6e1a2b3d4c59,x=1\r\n"
     assert 0 < int(time_left) < 2500  # the balancer waits for less time than the client
     counts = wait_until(
         lambda: (current := deployment.balancer.counts()).get("connections_ended_ok") and current,
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -28,8 +28,12 @@
 
 
 FORMATS = [
-    IdFormat(r % 7, s, n, key, r % 2 == 0)
-    for r, (s, n) in enumerate((s, n) for s in range(1, 16) for n in range(4, 20 - s))
+    IdFormat(index % 7, server_id_length, nonce_length, key, index % 2 == 0)
+    for index, (server_id_length, nonce_length) in enumerate(
+        (server_id_length, nonce_length)
+        for server_id_length in range(1, 16)
+        for nonce_length in range(4, 20 - server_id_length)
+    )
     for key in (None, KEY)
 ]
 
@@ -62,8 +66,8 @@
         IdFormat(**{"rotation": 1, "server_id_length": 2, "nonce_length": 6, **wrong})
 
 
-def config(rotation, uids, key=KEY, retire_at=None, **more):
-    id_format = IdFormat(rotation, 2, more.pop("nonce", 6), key, **more)
+def config(rotation, uids, key=KEY, retire_at=None, nonce_length=6, **fields):
+    id_format = IdFormat(rotation, 2, nonce_length, key, **fields)
     return IdConfig(id_format, {bytes([0, n]): uid for n, uid in uids.items()}, retire_at)
 
 
@@ -73,11 +77,15 @@
 
 
 def test_three_configurations_are_used_at_once_each_with_its_own_server_ids():
-    plain, old, new = config(0, {1: "a", 2: "b"}, None), config(3, {1: "b", 2: "a"}), config(6, {7: "a"}, nonce=14)
+    plain, old, new = (
+        config(0, {1: "a", 2: "b"}, None),
+        config(3, {1: "b", 2: "a"}),
+        config(6, {7: "a"}, nonce_length=14),
+    )
     directory = ConnectionIdDirectory([plain, old, new])
-    for c in (plain, old, new):
-        for server_id, uid in c.uids.items():
-            cid = c.format.encode(server_id)
+    for id_config in (plain, old, new):
+        for server_id, uid in id_config.uids.items():
+            cid = id_config.format.encode(server_id)
             assert uid_or_kind(directory, cid) == uid
             assert directory.extract(cid + b"the rest") == cid and directory.extract(cid[:-1]) is None
     assert (
@@ -111,8 +119,8 @@
     old, new = config(0, {1: "a"}, retire_at=100.0), config(1, {1: "a"}, key=bytes(16))
     directory = ConnectionIdDirectory([old, new])
     cids = old.format.encode(b"\0\1"), new.format.encode(b"\0\1")
-    assert [uid_or_kind(directory, i, 99.9) for i in cids] == ["a", "a"] and not directory.has_newly_retired(99.9)
-    assert [uid_or_kind(directory, i, 100.0) for i in cids] == [ConnectionIdKind.RETIRED_CONFIG, "a"]
+    assert [uid_or_kind(directory, cid, 99.9) for cid in cids] == ["a", "a"] and not directory.has_newly_retired(99.9)
+    assert [uid_or_kind(directory, cid, 100.0) for cid in cids] == [ConnectionIdKind.RETIRED_CONFIG, "a"]
     assert directory.has_newly_retired(100.0) and not directory.has_newly_retired(101.0)
     assert not directory.may_identify_session(cids[0], 100.0) and directory.may_identify_session(cids[1], 100.0)
 
@@ -127,7 +135,9 @@
 @hypothesis.seed(0xA5080C308BCEB524EB88062641426944ED5A90DAFF46DFD8AAF09FBD1FAA05BD915662D514B43A87A5CAFDD8AF90BF36)
 @given(st.binary(max_size=24))
 def test_any_bytes_are_looked_up_and_extracted_without_an_error(data):
-    directory = ConnectionIdDirectory([config(1, {1: "a"}), config(4, {1: "a"}, nonce=14)], unroutable_length=9)
+    directory = ConnectionIdDirectory(
+        [config(1, {1: "a"}), config(4, {1: "a"}, nonce_length=14)], unroutable_length=9
+    )
     directory.look_up(data, 0.0)
     extracted = directory.extract(data)
     assert extracted is None or data.startswith(extracted) and len(extracted) in (9, 17)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -23,7 +23,7 @@
 
 class RecordingDriver:
     def __init__(self):
-        self.loads, self.latencies, self.response_delays, self.ended_as = [], [], [], []
+        self.loads, self.latencies, self.response_delays = [], [], []
 
     def connection_load_reported(self, id, load):
         self.loads.append(load)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration while the program runs, and the sources that the configuration is read from."""
+"""Reload of the configuration while the balancer runs, and the sources that the configuration is read from."""
 
 import copy
 import json
@@ -47,6 +47,7 @@
 
 @pytest.fixture
 def deploy_with_two_discoveries(tmp_path):
+    """Return a function that makes a `TwoDiscoveryDeployment`."""
     deployments = []
 
     def make(**config):
@@ -219,7 +220,7 @@
     trio.run(main)
 
 
-def test_sighup_before_the_program_is_ready_is_delivered_once_it_is(tmp_path):
+def test_sighup_before_the_balancer_is_ready_is_delivered_once_it_is(tmp_path):
     """The signal receiver is installed before the first PONG, and delivers a signal that was sent earlier."""
     server, discovery = StubServer("s-0"), StubDiscovery([])
     balancer = BalancerProcess(tmp_path, discovery.address, [server.endpoint_entry()])
@@ -244,7 +245,7 @@
 
 
 def blocks_or_handles_sighup(pid):
-    """Whether the program has blocked SIGHUP or handles it already.
+    """Return whether the balancer has blocked SIGHUP or handles it already.
 
     Before its exec, the child process still has the signal masks of the test process.
     """
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -178,7 +178,7 @@
         assert str(error)
 
 
-def test_stored_endpoints_are_decoded_as_discovery_s_and_invalid_ones_are_reported():
+def test_stored_endpoints_are_decoded_like_those_of_discovery_and_invalid_ones_are_reported():
     endpoint = {"uid": "s-1", "endpoint": "127.0.0.1:1", "state": "active"}
     stored = parse_stored_endpoints(
         {"runner/s-1": json.dumps(endpoint), "runner/s-2": json.dumps(endpoint), "runner/s-3": "{"}
@@ -240,13 +240,13 @@
             settings_file, "put", "config/settings", json.dumps({**SETTINGS, "lanes": request_classes})
         ) == (0, "")
         for balancer in balancers:
-            wait_until(lambda current=balancer: serves(current), "the stored endpoint list is in use")
+            wait_until(lambda current=balancer: serves(current), "the use of the stored endpoint list")
         # Each restarts without data in turn and gets the entries back from the other.
         for balancer in balancers:
             balancer.kill()
             balancer.start()
             wait_until(
-                lambda current=balancer: serves(current), "the stored endpoint list is in use after the restart"
+                lambda current=balancer: serves(current), "the use of the stored endpoint list after the restart"
             )
             with Client(balancer.address) as client:
                 assert client.open("c=renamed,d=1000") == b"UP s-9\r\n"  # the stored settings are in force
@@ -255,7 +255,7 @@
             sender.sendto(data, ("127.0.0.1", int(nodes["n0"].split(":")[1])))
         sender.close()
         wait_until(
-            lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "invalid datagrams are counted"
+            lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "the count of invalid datagrams"
         )
         assert run_store_command(settings_file, "get", "runner/s-9")[1].startswith("{")
         assert run_store_command(settings_file, "remove", "runner/s-9") == (0, "")
