--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("departure", ["ends", "resets"])
 def test_client_that_left_during_the_first_attempt_causes_no_second_one(departure):
-    """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
+    """One event loop pass detects both ends, that of the attempt before that of the client."""
     server = StubServer("s-0")
     server.hold_connections = True
 
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -146,9 +146,8 @@
     recorders, service = run_watchers_together(count, call_seconds, 30.0, monkeypatch)
     learned_times = sorted(recorder.learned_at for recorder in recorders)
     assert learned_times[-1] <= CHANGE_AT_SECONDS + watch_policy.MAX_STALENESS_SECONDS, learned_times
-    assert (
-        service.calls - service.rejected <= count + 1
-    )  # one served call for each balancer: a followed watch makes no more
+    # One call is served for each balancer, since a watch that is open makes no further calls.
+    assert service.calls - service.rejected <= count + 1
 
 
 def test_balancers_beyond_the_capacity_of_the_service_are_all_served_eventually(monkeypatch):
@@ -172,8 +171,7 @@
     async def connect(address):
         if refuses_connections:
             raise ConnectionRefusedError
-        stream = CallStream(SimpleNamespace(nursery=nursery, serve=reject, empty_pipe=-1))
-        return stream
+        return CallStream(SimpleNamespace(nursery=nursery, serve=reject, empty_pipe=-1))
 
     async def reject(stream):
         stream.reply(REJECTION)
@@ -198,7 +196,7 @@
 # ------------------------------------------------------------ attempts without a confirmed list
 
 SETTINGS_WITH_DRAIN_GRACE = replace(SETTINGS, rules=replace(SETTINGS.rules, drain_grace=2.0))
-# 6 s until a change counts as known, plus the drain grace, minus a margin.
+# The limit of 6 s for learning a change, plus the drain grace, minus a margin.
 CONFIRMATION_LIFETIME_SECONDS = 7.5
 
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -96,7 +96,7 @@
 
 
 def test_more_connections_leave_a_slow_server_if_most_balancers_get_no_report_of_it():
-    """Balancers without connections at the server get no report and keep placing on it, so as many more must leave."""
+    """Balancers without connections at the server get no report and keep placing on it; the others make up for that."""
     harnesses, rounds, migrated, connection_count = harnesses_in_lock_step(), 200, 0, 0
     for _ in range(4):
         for harness in harnesses:
@@ -111,7 +111,7 @@
         harness.tick()
     for harness in (harness for harness in harnesses if harness.balancer.servers[3].connections):
         server, connections_before = harness.balancer.servers[3], dict(harness.balancer.servers[3].connections)
-        for _ in range(rounds):  # the same connections again and again
+        for _ in range(rounds):  # the same connections each time
             connection_count += len(connections_before)
             migrated += len(
                 harness.balancer.handle(harness.now, ServerLatencyReported("", 3, MESSAGE_LATENCY_OBJECTIVE)) or []
--- a/tests/test_response_delivery.py
+++ b/tests/test_response_delivery.py
@@ -86,12 +86,12 @@
     async def script(harness):
         gate = Gate()
 
-        async def held(link, data):
+        async def send_once_opened(link, data):
             if data.startswith(b"BUSY"):
                 await gate.wait_until_opened()
             await send(link, data)
 
-        monkeypatch.setattr(Link, "send", held)
+        monkeypatch.setattr(Link, "send", send_once_opened)
         client = await harness.send_open()
         await gate.reached.wait()
         harness.nursery.cancel_scope.cancel()
@@ -108,13 +108,13 @@
     server = StubServer("s-0")
 
     async def script(harness):
-        established = harness.driver.connection_established
+        connection_established = harness.driver.connection_established
 
-        def and_migrate(id):
-            established(id)
+        def establish_and_migrate(id):
+            connection_established(id)
             harness.driver._requests[id].handler.migrate()
 
-        harness.driver.connection_established = and_migrate
+        harness.driver.connection_established = establish_and_migrate
         client = await harness.send_open()
         assert await client.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not client.was_reset
         client.stream.socket.close()
@@ -135,11 +135,11 @@
         (state,) = harness.frontend.open_connections.values()
         end_sending = Link.end_sending
 
-        async def and_migrate(link):
+        async def end_sending_and_migrate(link):
             await end_sending(link)
             state.migrate()
 
-        state.client.end_sending = lambda: and_migrate(state.client)
+        state.client.end_sending = lambda: end_sending_and_migrate(state.client)
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
         assert await client.read_to_end() == b"UP s-0\r\nBYE\r\n" and not client.was_reset
@@ -179,8 +179,8 @@
         connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         assert (await client.read_line()).startswith(b"BUSY")
         connection.sendall(b"UP s-0\r\n")
-        got = await client.read_to_end()
-        assert got.count(b"\r\n") == 1 and got.startswith(b"BUSY") and not client.was_reset
+        received = await client.read_to_end()
+        assert received.count(b"\r\n") == 1 and received.startswith(b"BUSY") and not client.was_reset
         client.stream.socket.close()
         await harness.wait_until_all_closed()
 
