--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -113,7 +113,8 @@
         )
         self.servers, self.events = servers, list[tuple[str, dict[str, Any]]]()
         log = SimpleNamespace(
-            event=lambda name, **more: self.events.append((name, more)), rate_limited_event=lambda name, **more: None
+            event=lambda name, **fields: self.events.append((name, fields)),
+            rate_limited_event=lambda name, **fields: None,
         )
         services = SimpleNamespace(
             watch_endpoints=lambda: None, check_health=lambda server: None, timers_changed=lambda: None
--- a/tests/lock_step.py
+++ b/tests/lock_step.py
@@ -230,7 +230,8 @@
     return violations
 
 
-def listed_target(n, started_at=0.0, **fields):
+def endpoint_entry(n, started_at=0.0, **fields):
+    """Return the entry of server `n` in an endpoint list of discovery."""
     return {
         "uid": f"s-{n}",
         "endpoint": f"127.0.{n // 250}.{n % 250 + 1}:80",
@@ -244,13 +245,13 @@
 class DiscoveryHarness(BalancerHarness):
     """A balancer that gets its servers as endpoint lists of discovery. Its clock is Unix time, as in the daemon."""
 
-    def __init__(self, targets, balancers=1, seed=1, now=NOW, rules=RULES, **settings):
+    def __init__(self, entries, balancers=1, seed=1, now=NOW, rules=RULES, **settings):
         self.registry, self.clock_skew = EndpointRegistry(()), now - NOW
         super().__init__([], replace(SETTINGS, rules=rules, balancer_count=balancers, **settings), seed, now)
-        self.update_targets(*targets, full=True)
+        self.update_list(*entries, full=True)
 
-    def update_targets(self, *targets, full=False):
-        update = parse_endpoint_list({"rev": 1, "all": full, "targets": list(targets)})
+    def update_list(self, *entries, full=False):
+        update = parse_endpoint_list({"rev": 1, "all": full, "targets": list(entries)})
         self.update_endpoints(*self.registry.apply(update), scope=update.scope)
 
     def finish_request(self, rng=None, **fields):
@@ -283,7 +284,7 @@
             harness.now = now + harness.clock_skew
             if not step % 10:
                 harness.tick(0.0)
-                harness.update_targets(*(listed_target(int(uid[2:]), now) for uid in starts if restarts))
+                harness.update_list(*(endpoint_entry(int(uid[2:]), now) for uid in starts if restarts))
         for harness in rng.choices(harnesses, k=requests_per_second // 10):
             if not isinstance(action := harness.finish_request(), StartAttempt):
                 rejected += 1
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -12,7 +12,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from load_report_harness import report_load
-from lock_step import BALANCER_COUNTS, HUNDREDS_OF_BALANCERS, NOW, RULES, DiscoveryHarness, listed_target
+from lock_step import BALANCER_COUNTS, HUNDREDS_OF_BALANCERS, NOW, RULES, DiscoveryHarness, endpoint_entry
 from random_events import deployments, event_sequences, play_events
 
 from aspensaddle.core.actions import CheckHealth, Reject, RejectReason, StartAttempt
@@ -196,14 +196,14 @@
 )
 def test_extreme_settings_place_the_first_request_and_end_each_once(count, cost, slow_start_duration, classes):
     """The cases have slow start and a session group cost on and off."""
-    rules, targets = (
+    rules, entries = (
         replace(RULES, slow_start_duration=slow_start_duration, initial_capacity_fraction=0.0),
-        [listed_target(0), *(listed_target(n, NOW) for n in (1, 2))],
+        [endpoint_entry(0), *(endpoint_entry(n, NOW) for n in (1, 2))],
     )
     for seed in range(4):
         harness, rng = (
             DiscoveryHarness(
-                targets, count, seed, rules=rules, classes=classes, session_group_cost=cost, session_groups=True
+                entries, count, seed, rules=rules, classes=classes, session_group_cost=cost, session_groups=True
             ),
             Random(seed),
         )
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -63,7 +63,7 @@
 
 
 def test_ping_does_not_restart_the_time_limit_of_the_first_line(deploy_with_one_server):
-    """Otherwise a client could hold its connection for ever."""
+    """Otherwise a client could hold its connection forever."""
     deployment = deploy_with_one_server()
     with deployment.client() as client:
         started_at = time.monotonic()
--- a/tests/test_discovery_freshness.py
+++ b/tests/test_discovery_freshness.py
@@ -39,8 +39,8 @@
 
 
 def endpoint_list(revision, *uids, complete=True, indent=None, state="active"):
-    targets = [{"uid": uid, "endpoint": "127.0.0.1:9", "state": state} for uid in uids]
-    return json.dumps({"rev": revision, "all": complete, "targets": targets}, indent=indent).encode() + b"\n"
+    entries = [{"uid": uid, "endpoint": "127.0.0.1:9", "state": state} for uid in uids]
+    return json.dumps({"rev": revision, "all": complete, "targets": entries}, indent=indent).encode() + b"\n"
 
 
 class ScriptedDiscovery(ThreadedServer):
@@ -560,15 +560,15 @@
     new_server.close()
 
 
-# ------------------------------------------------------------ the program
+# ------------------------------------------------------------ the balancer process
 
 
-def test_program_applies_indented_lists_and_a_drain_in_one(deploy, monkeypatch):
+def test_balancer_process_applies_indented_lists_and_a_drain_in_one(deploy, monkeypatch):
     monkeypatch.setattr(
         StubDiscovery,
         "_format_update",
-        lambda discovery, complete, targets: (
-            json.dumps({"rev": discovery.revision, "all": complete, "targets": targets}, indent=2).encode() + b"\r\n"
+        lambda discovery, complete, entries: (
+            json.dumps({"rev": discovery.revision, "all": complete, "targets": entries}, indent=2).encode() + b"\r\n"
         ),
     )
     deployment = deploy()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -63,7 +63,7 @@
         return handler
 
 
-def test_rejected_attempts_are_followed_by_others_until_exactly_one_final_answer():
+def test_rejected_attempts_are_followed_by_others_until_exactly_one_rejection():
     harness = DriverHarness()
     handler = harness.submit_request()
     for _ in range(6):
@@ -122,7 +122,7 @@
     [(IDEMPOTENT, True), (DEDUPLICATED, True), (DEDUPLICATED_IN_ZONE, False), (NOT_IDEMPOTENT, False)],
 )
 def test_shutdown_rejects_a_request_if_a_retry_is_harmless_and_fails_it_otherwise(request_class, client_may_retry):
-    def answer_on_shutdown(*outcomes, attempt_started):
+    def final_action_on_shutdown(*outcomes, attempt_started):
         harness = DriverHarness(servers=3, settings=replace(SETTINGS, classes=(request_class,)))
         handler = harness.submit_request()
         for outcome in outcomes:
@@ -134,18 +134,20 @@
         assert "r" not in harness.driver and not harness.driver.balancer.requests
         return type(handler.actions[-1])
 
-    answer_if_possibly_executed = Reject if client_may_retry else Fail
+    final_action_if_possibly_executed = Reject if client_may_retry else Fail
     assert (
-        answer_on_shutdown(attempt_started=False)
-        is answer_on_shutdown(Outcome.REJECTED, attempt_started=False)
+        final_action_on_shutdown(attempt_started=False)
+        is final_action_on_shutdown(Outcome.REJECTED, attempt_started=False)
         is Reject
     )
     assert (
-        answer_on_shutdown(attempt_started=True)
-        is answer_on_shutdown(Outcome.REJECTED, attempt_started=True)
-        is answer_if_possibly_executed
+        final_action_on_shutdown(attempt_started=True)
+        is final_action_on_shutdown(Outcome.REJECTED, attempt_started=True)
+        is final_action_if_possibly_executed
+    )
+    assert (
+        final_action_on_shutdown(Outcome.CONNECTION_LOST, attempt_started=False) is final_action_if_possibly_executed
     )
-    assert answer_on_shutdown(Outcome.CONNECTION_LOST, attempt_started=False) is answer_if_possibly_executed
 
 
 def test_retry_may_not_start_after_the_deduplication_window_of_the_first_attempt():
--- a/tests/test_latency_outliers.py
+++ b/tests/test_latency_outliers.py
@@ -12,8 +12,8 @@
     MESSAGE_LATENCY_OBJECTIVE,
     SERVER_COUNT,
     DiscoveryHarness,
+    endpoint_entry,
     harnesses_in_lock_step,
-    listed_target,
     place_on_each,
     report_latency,
 )
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("other_connections", [0, 1])
 def test_balancer_with_few_connections_does_not_reject_all_because_of_one_slow_server(count, other_connections):
     """Of requests 0.1 s apart, fewer than 40 in a row are rejected."""
-    harness = DiscoveryHarness([listed_target(n) for n in range(60)], count)
+    harness = DiscoveryHarness([endpoint_entry(n) for n in range(60)], count)
     action = [harness.finish_request() for _ in range(1 + other_connections)][0]
     harness.balancer.handle(harness.now, ServerLatencyReported(action.request_id, action.server, 0.5))
     harness.end(action, Outcome.CANCELLED, finished=True)  # migrated
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, make_endpoint
-from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, listed_target
+from lock_step import BALANCER_COUNTS, LOAD, MANY_BALANCERS, NOW, SERVER_COUNT, DiscoveryHarness, endpoint_entry
 
 from aspensaddle.core.actions import Reject, SetTimer, StartAttempt, WatchEndpoints
 from aspensaddle.core.events import EndpointsChanged, EndpointUpdateScope, Outcome, ServerState, Started, TimerFired
@@ -131,18 +131,18 @@
 
 @pytest.mark.parametrize("count", BALANCER_COUNTS)
 def test_no_request_is_rejected_while_the_list_grows_to_900_and_shrinks_to_one(count):
-    harness, new_targets = (
-        DiscoveryHarness([listed_target(n) for n in range(3)], count, session_groups=True),
-        [listed_target(n, NOW) for n in range(3, 900)],
+    harness, new_entries = (
+        DiscoveryHarness([endpoint_entry(n) for n in range(3)], count, session_groups=True),
+        [endpoint_entry(n, NOW) for n in range(3, 900)],
     )
     for step in range(10):
-        harness.update_targets(*new_targets[step * 90 : (step + 1) * 90])
+        harness.update_list(*new_entries[step * 90 : (step + 1) * 90])
         harness.now += 0.1
         assert isinstance(harness.finish_request(), StartAttempt)  # the three old servers are warm
     assert len(harness.balancer.servers) == len(harness.registry.addresses) == 900 and isinstance(
         harness.finish_request(session_group=1), StartAttempt
     )
-    harness.update_targets(listed_target(1), full=True)
+    harness.update_list(endpoint_entry(1), full=True)
     assert {harness.registry.uid(harness.finish_request().server) for _ in range(20)} == {"s-1"} and len(
         harness.registry.addresses
     ) == 1
@@ -152,14 +152,14 @@
 @pytest.mark.parametrize("last", ["active", "leaving", "left"])
 def test_last_entry_of_a_server_that_is_listed_twice_is_used(first, last):
     harness = DiscoveryHarness(
-        [listed_target(0), listed_target(0, state=first, endpoint="127.0.9.9:80"), listed_target(0, state=last)]
+        [endpoint_entry(0), endpoint_entry(0, state=first, endpoint="127.0.9.9:80"), endpoint_entry(0, state=last)]
     )
     assert isinstance(harness.finish_request(), StartAttempt if last == "active" else Reject)
     listed = {} if last == "left" else {harness.registry.find("s-0"): ("127.0.0.1", 80)}
     assert (
         harness.registry.addresses == listed and len(harness.balancer.servers) == len(listed) and None not in listed
     )
-    harness.update_targets(listed_target(1), full=True)
+    harness.update_list(endpoint_entry(1), full=True)
     # Servers that a complete list does not contain are forgotten.
     assert list(harness.registry.addresses) == [harness.registry.find("s-1")]
 
@@ -167,4 +167,4 @@
 @pytest.mark.parametrize("weight", [-1, 1e9, "2", True, [1]])
 def test_list_with_an_invalid_weight_is_rejected_with_the_field_name(weight):
     with pytest.raises(DecodeError, match=r"^targets\[1\]\.capacity_hint must be a number"):
-        DiscoveryHarness([listed_target(0), listed_target(1, capacity_hint=weight)])
+        DiscoveryHarness([endpoint_entry(0), endpoint_entry(1, capacity_hint=weight)])
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -205,7 +205,7 @@
 
     async def main():
         events = []
-        log = SimpleNamespace(event=lambda name, **more: events.append(name))
+        log = SimpleNamespace(event=lambda name, **fields: events.append(name))
         config = SimpleNamespace(sockets=100, classes={"test-run": 0}, settings=FailingDriver.settings)
         frontend = LineProtocolFrontend(
             config, FailingDriver(), SimpleNamespace(descriptors=0), None, Counters(), log
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -20,8 +20,8 @@
     DiscoveryHarness,
     Fleet,
     budget_violations,
+    endpoint_entry,
     harnesses_in_lock_step,
-    listed_target,
     place_on_each,
     request_budget,
     simulate_discovery,
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("start", [0.0, -5.0, 1.0, NOW - 1e8])
 def test_servers_with_an_old_or_missing_start_time_are_warm(start, count):
     for seed, group in enumerate((None, None, 1, 2)):  # holds from the first request of a balancer on
-        harness = DiscoveryHarness([listed_target(n, start) for n in range(5)], count, seed, session_groups=True)
+        harness = DiscoveryHarness([endpoint_entry(n, start) for n in range(5)], count, seed, session_groups=True)
         assert [type(harness.finish_request(session_group=group)) for _ in range(20)] == [StartAttempt] * 20
 
 
@@ -221,9 +221,9 @@
 @pytest.mark.parametrize("count", [1, 3, 40])
 def test_servers_started_now_or_in_the_future_warm_up_within_the_limit(start, count):
     """A start time in the future counts as the present. Requests over the limit are rejected."""
-    targets = [listed_target(n, NOW + start) for n in range(12)]
+    entries = [endpoint_entry(n, NOW + start) for n in range(12)]
     rejected, sent, over_budget = simulate_discovery(
-        [DiscoveryHarness(targets, count, n) for n in range(count)], {target["uid"]: NOW for target in targets}, 60
+        [DiscoveryHarness(entries, count, n) for n in range(count)], {entry["uid"]: NOW for entry in entries}, 60
     )
     assert rejected > 0 and sent >= 12 and not over_budget
 
@@ -231,20 +231,20 @@
 def test_clock_skew_shifts_the_start_of_slow_start():
     """Clock skew is not corrected (PROTOCOL): a balancer whose clock is behind sends less, one ahead sends more."""
     for skew, rejects in ((-60.0, True), (60.0, False)):
-        harness = DiscoveryHarness([listed_target(n, NOW) for n in range(3)], 40, now=NOW + skew)
+        harness = DiscoveryHarness([endpoint_entry(n, NOW) for n in range(3)], 40, now=NOW + skew)
         assert any(isinstance(harness.finish_request(), Reject) for _ in range(40)) is rejects
-    targets = [listed_target(0, NOW), *(listed_target(n) for n in range(1, 9))]
+    entries = [endpoint_entry(0, NOW), *(endpoint_entry(n) for n in range(1, 9))]
     rejected, sent, over_budget = simulate_discovery(
-        [DiscoveryHarness(targets, 20, n, NOW - 60 * (n % 2)) for n in range(20)], {"s-0": NOW}, 80
+        [DiscoveryHarness(entries, 20, n, NOW - 60 * (n % 2)) for n in range(20)], {"s-0": NOW}, 80
     )
     assert not rejected and sent > 0 and not over_budget
 
 
 @pytest.mark.parametrize(("warm_servers", "count"), [(3, 1), (3, 40), (0, 1), (0, 40)])
 def test_server_that_restarts_every_second_stays_within_the_limit(warm_servers, count):
-    targets = [listed_target(n) for n in range(1 + warm_servers)]
+    entries = [endpoint_entry(n) for n in range(1 + warm_servers)]
     rejected, sent, over_budget = simulate_discovery(
-        [DiscoveryHarness(targets, count, n) for n in range(count)], {"s-0": NOW}, 40, restarts=True
+        [DiscoveryHarness(entries, count, n) for n in range(count)], {"s-0": NOW}, 40, restarts=True
     )
     assert not over_budget and (rejected == 0 if warm_servers else sent > 0)
 
@@ -252,8 +252,8 @@
 @pytest.mark.parametrize("count", [1, 3, 40, 230])
 def test_fleet_that_is_all_warming_up_without_reported_loads_gets_requests_within_the_limit(count):
     """Guards against a limit that admits no first request, so that no load would ever be reported."""
-    rng, targets = Random(1), [listed_target(n, NOW) for n in range(12)]
-    harnesses, sent = [DiscoveryHarness(targets, count, n) for n in range(count)], []
+    rng, entries = Random(1), [endpoint_entry(n, NOW) for n in range(12)]
+    harnesses, sent = [DiscoveryHarness(entries, count, n) for n in range(count)], []
     for step in range(80):
         for harness in harnesses:
             harness.now = NOW + step / 10
--- a/tests/test_weighted_rotation.py
+++ b/tests/test_weighted_rotation.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import SETTINGS, BalancerHarness, make_endpoint
-from lock_step import DiscoveryHarness, listed_target
+from lock_step import DiscoveryHarness, endpoint_entry
 
 from aspensaddle.core.actions import StartAttempt
 from aspensaddle.core.events import Outcome
@@ -80,6 +80,6 @@
 @pytest.mark.parametrize(("weight", "least", "most"), [(None, 12, 18), (0, 0, 0), (1e-9, 0, 1), (999999999, 51, 60)])
 def test_missing_weight_counts_as_1_and_a_server_with_weight_0_gets_no_requests(weight, least, most):
     harness = DiscoveryHarness(
-        [listed_target(0, capacity_hint=weight), *(listed_target(n, capacity_hint=1.0) for n in range(1, 4))], 230
+        [endpoint_entry(0, capacity_hint=weight), *(endpoint_entry(n, capacity_hint=1.0) for n in range(1, 4))], 230
     )
     assert least <= [harness.registry.uid(harness.finish_request().server) for _ in range(60)].count("s-0") <= most
