--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -160,7 +160,7 @@
     completed = run_importer(write_file(tmp_path, text), "-o", str(output))
     assert (completed.returncode, completed.stdout, completed.stderr) == (0, "", "")
     assert json.loads(output.read_text())["known"]["targets"][0]["uid"] == f"127.0.0.1:{server.address[1]}"
-    program = subprocess.Popen(
+    balancer = subprocess.Popen(
         [sys.executable, "-m", "aspensaddle"],
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
@@ -177,8 +177,8 @@
     try:
         wait_until(serves, "a connection under the imported configuration")
     finally:
-        program.kill()
-        program.wait(TIMEOUT_SECONDS)
+        balancer.kill()
+        balancer.wait(TIMEOUT_SECONDS)
         server.close()
 
 
--- a/tests/test_quic_conformance.py
+++ b/tests/test_quic_conformance.py
@@ -35,14 +35,14 @@
     )
     assert passed >= 80 and not failed and not not_applicable
     results = json.loads((tmp_path / "results.json").read_text())
-    assert len(results) == passed and {r["verdict"] for r in results} == {"passed"}
+    assert len(results) == passed and {result["verdict"] for result in results} == {"passed"}
 
 
 def test_all_cases_pass_against_the_engine_with_several_seeds():
     for seed in range(3):
         results = suite.run(suite.load_cases(), memory=True, seed=seed, jobs=2)
-        assert [(r.name, r.why) for r in results if r.verdict == "failed"] == []
-    assert len({r.section.split("-")[0] for r in results} & {"8999", "9000", "9001", "9369", "lb"}) == 5
+        assert [(result.name, result.why) for result in results if result.verdict == "failed"] == []
+    assert len({result.section.split("-")[0] for result in results} & {"8999", "9000", "9001", "9369", "lb"}) == 5
 
 
 def ignore_amplification_limit(monkeypatch):
@@ -82,7 +82,7 @@
     ],
 )
 def test_injected_fault_fails_the_case_that_covers_it(monkeypatch, inject_fault, case_name):
-    (case,) = (c for c in suite.load_cases() if c.name == case_name)
+    (case,) = (candidate for candidate in suite.load_cases() if candidate.name == case_name)
     assert suite.run([case], memory=True)[0].verdict == "passed"
     inject_fault(monkeypatch)
     assert suite.run([case], memory=True)[0].verdict == "failed"
