--- a/tests/frontend_harness.py
+++ b/tests/frontend_harness.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import trio
-from standins import SETTINGS, WAIT, Runner
+from standins import SETTINGS, TIMEOUT_SECONDS, StubServer
 
 from aspensaddle.core.driver import Driver
 from aspensaddle.core.settings_parser import parse_settings
@@ -98,10 +98,10 @@
 
     def __init__(
         self,
-        servers: list[Runner],
+        servers: list[StubServer],
         sockets: int = 512,
         request_classes: list[dict[str, Any]] | None = None,
-        targets: list[dict[str, Any]] | None = None,
+        entries: list[dict[str, Any]] | None = None,
         **limits: Any,
     ) -> None:
         settings = parse_settings(
@@ -113,7 +113,8 @@
         )
         self.servers, self.events = servers, list[tuple[str, dict[str, Any]]]()
         log = SimpleNamespace(
-            event=lambda name, **more: self.events.append((name, more)), rate_limited_event=lambda name, **more: None
+            event=lambda name, **fields: self.events.append((name, fields)),
+            rate_limited_event=lambda name, **fields: None,
         )
         services = SimpleNamespace(
             watch_endpoints=lambda: None, check_health=lambda server: None, timers_changed=lambda: None
@@ -129,16 +130,16 @@
             self.config, self.driver, self.connector, self.endpoints, self.counters, log
         )
         self.listener = Listener(("127.0.0.1", 0))
-        self.driver.start(self.apply_endpoint_list(*(targets or [stand_in.target() for stand_in in servers])))
+        self.driver.start(self.apply_endpoint_list(*(entries or [stand_in.endpoint_entry() for stand_in in servers])))
         self.request_count = 0
 
-    def apply_endpoint_list(self, *targets: dict[str, Any]) -> Any:
+    def apply_endpoint_list(self, *entries: dict[str, Any]) -> Any:
         """Apply a complete endpoint list to the registry; return the endpoints."""
-        return self.endpoints.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(targets)}))
+        return self.endpoints.apply(parse_endpoint_list({"rev": 1, "all": True, "targets": list(entries)}))
 
-    def change_endpoints(self, *targets: dict[str, Any]) -> None:
+    def change_endpoints(self, *entries: dict[str, Any]) -> None:
         """Apply an update of some endpoints and report it to the driver."""
-        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(targets)})
+        update = parse_endpoint_list({"rev": 2, "all": False, "targets": list(entries)})
         self.driver.update_endpoints(update.scope, self.endpoints.apply(update))
 
     async def connect(self) -> RecordingClient:
@@ -184,7 +185,7 @@
                 await trio.sleep_forever()
 
         async def main() -> None:
-            with trio.fail_after(WAIT):
+            with trio.fail_after(TIMEOUT_SECONDS):
                 async with trio.open_nursery() as outer:
                     self.nursery = await outer.start(run_frontend)
                     await script(self)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from standins import Program
+from standins import BalancerProcess
 
 from .clients import Target
 from .record import ProcessExited, ProcessReady, ProcessStarted, SignalSent
@@ -24,7 +24,7 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class BalancerProcess(Program):
+class SoakBalancer(BalancerProcess):
     """Runs the program as the platform does, and records its signals, starts and exits."""
 
     def __init__(self, folder: Path, config: dict[str, Any], harness: Harness) -> None:
@@ -33,7 +33,12 @@
         self.address = (host, int(port))
         self.folder = folder / self.name
         self.folder.mkdir(parents=True)
-        self.files, self.patch, self.environ, self.body = config["limits"]["sockets"], "", {}, config
+        self.max_descriptors, self.startup_code, self.environ, self.config = (
+            config["limits"]["sockets"],
+            "",
+            {},
+            config,
+        )
         self.harness = harness
         self.disruption_lock = threading.Lock()  # held while one step is applied
         self.target: Target | None = None
@@ -68,8 +73,8 @@
     def reload_twice(self) -> None:
         """Change the configuration and send SIGHUP, twice."""
         for _ in range(2):
-            limits = {**self.body["settings"]["limits"], "max-retry-after": self.harness.rng.choice([0.5, 1.0])}
-            self.configure(settings={**self.body["settings"], "limits": limits})
+            limits = {**self.config["settings"]["limits"], "max-retry-after": self.harness.rng.choice([0.5, 1.0])}
+            self.configure(settings={**self.config["settings"], "limits": limits})
             self.signal(signal.SIGHUP)
             time.sleep(SIGNAL_INTERVAL_SECONDS)
 
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -6,15 +6,15 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness, Gate
-from standins import Client, Runner, until
+from standins import Client, StubServer, wait_until
 
 
 @pytest.mark.parametrize("departure", ["ends", "resets"])
 @pytest.mark.parametrize("clients_ahead", [0, 40])
 def test_client_that_left_before_its_accept_causes_no_attempt(departure, clients_ahead):
     """Its OPEN and its end have both arrived before the first read; other clients are ahead in the accept queue."""
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         others = [await harness.send_open() for _ in range(clients_ahead)]
@@ -26,7 +26,7 @@
             client.reset()
         harness.nursery.start_soon(harness.frontend.serve, harness.listener, harness.nursery)
         for _ in range(clients_ahead):
-            await trio.to_thread.run_sync(server.offered)
+            await trio.to_thread.run_sync(server.next_held_connection)
         if departure == "ends":
             await client.read_to_end()
             client.stream.socket.close()
@@ -40,14 +40,14 @@
 
 @pytest.mark.parametrize("departure", ["ends", "resets"])
 def test_client_that_left_during_the_first_attempt_causes_no_second_one(departure):
-    """Both ends are noticed in one event loop pass, that of the attempt before that of the client."""
-    server = Runner("s-0")
-    server.held = True
+    """One event loop pass detects both ends, that of the attempt before that of the client."""
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         (state,) = harness.frontend.pending_requests.values()
         gate = Gate()
         harness.connector._connect = gate.hold(harness.connector._connect)
@@ -69,13 +69,13 @@
 
 
 def test_client_that_sends_a_command_before_its_response_gets_an_error_and_no_further_attempt():
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         gate = Gate()
         harness.connector._connect = gate.hold(harness.connector._connect)
         connection.sendall(b"BUSY\r\n")
@@ -91,7 +91,7 @@
 
 
 def test_client_that_left_during_its_adoption_causes_no_attempt():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         gate = Gate()
@@ -109,31 +109,31 @@
 
 
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
-def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(world, leave):
-    deployment = world()
-    deployment.program.process.send_signal(signal.SIGSTOP)
+def test_clients_that_left_while_the_process_was_stopped_cause_no_attempts(deploy, leave):
+    deployment = deploy()
+    deployment.balancer.process.send_signal(signal.SIGSTOP)
     for n in range(20):
-        client = Client(deployment.program.address)
+        client = Client(deployment.balancer.address)
         client.send(b"OPEN %016x 7f3a9c21e0b4d655 c=test-run,d=3000\r\n" % n)
         leave(client)
-    deployment.program.process.send_signal(signal.SIGCONT)
-    until(lambda: deployment.program.counts().get("connections", 0) >= 21, "the connections")
+    deployment.balancer.process.send_signal(signal.SIGCONT)
+    wait_until(lambda: deployment.balancer.counts().get("connections", 0) >= 21, "the connections")
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
-    assert sum(len(server.first_lines) for server in deployment.runners) == 1
+    assert sum(len(server.first_lines) for server in deployment.servers) == 1
 
 
-def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(world):
-    deployment = world()
-    for server in deployment.runners:
-        server.held = True
+def test_client_that_ends_its_sending_before_the_up_has_its_attempt_cancelled(deploy):
+    deployment = deploy()
+    for server in deployment.servers:
+        server.hold_connections = True
     with deployment.client() as client:
         client.send(b"OPEN 1 k c=test-run,d=3000\r\n")
-        attempted_server = until(
-            lambda: [server for server in deployment.runners if server.first_lines], "the attempt"
+        attempted_server = wait_until(
+            lambda: [server for server in deployment.servers if server.first_lines], "the attempt"
         )[0]
-        connection, _ = attempted_server.offered()
+        connection, _ = attempted_server.next_held_connection()
         client.sock.shutdown(socket.SHUT_WR)
         assert connection.recv(100) == b""  # the attempt is cancelled
-        assert client.rest() == b""
-    assert sum(len(server.first_lines) for server in deployment.runners) == 1
+        assert client.read_to_end() == b""
+    assert sum(len(server.first_lines) for server in deployment.servers) == 1
--- a/tests/test_connection_slots.py
+++ b/tests/test_connection_slots.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 from frontend_harness import FrontendHarness
-from standins import WAIT, Client, Discovery, Program, Runner, until
+from standins import TIMEOUT_SECONDS, BalancerProcess, Client, StubDiscovery, StubServer, wait_until
 
 from aspensaddle.frontends.line_protocol.connection_slots import (
     MIN_STAGE_SHARE,
@@ -26,32 +26,35 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    made = []
+def deploy_with_one_server(tmp_path):
+    """Return a function that makes a balancer process with one server; the result has the server as `server`."""
+    parts = []
 
     def make(**config):
-        server = Runner("s-0")
-        discovery = Discovery([server.target()])
-        made.extend((server, discovery, Program(tmp_path, discovery.address, [server.target()], **config)))
-        return SimpleNamespace(server=server, program=made[-1], client=lambda: Client(made[-1].address))
+        server = StubServer("s-0")
+        discovery = StubDiscovery([server.endpoint_entry()])
+        parts.extend(
+            (server, discovery, BalancerProcess(tmp_path, discovery.address, [server.endpoint_entry()], **config))
+        )
+        return SimpleNamespace(server=server, balancer=parts[-1], client=lambda: Client(parts[-1].address))
 
     yield make
-    for part in reversed(made):
-        (part.kill if isinstance(part, Program) else part.close)()
+    for part in reversed(parts):
+        (part.kill if isinstance(part, BalancerProcess) else part.close)()
 
 
-def test_hundreds_of_silent_clients_do_not_keep_out_a_request(world):
-    deployment = world(limits={"sockets": 128})
+def test_hundreds_of_silent_clients_do_not_keep_out_a_request(deploy_with_one_server):
+    deployment = deploy_with_one_server(limits={"sockets": 128})
     silent = [deployment.client() for _ in range(300)]
     with deployment.client() as client:
         assert client.open().startswith(b"UP ")
         assert client.echo(b"M 1") == b"M 1\r\n"
-    responses = [client.line() for client in silent]  # the oldest at once, the others after their time limit
+    responses = [client.read_line() for client in silent]  # the oldest at once, the others after their time limit
     assert {b"BUSY", b"ERR"} == {response.split()[0] for response in responses}
-    assert all(client.line() == b"" for client in silent)
+    assert all(client.read_line() == b"" for client in silent)
     for client in silent:
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert (
         counts["connections_evicted"] >= 200
         and "internal_errors" not in counts
@@ -59,9 +62,9 @@
     )
 
 
-def test_ping_does_not_restart_the_time_limit_of_the_first_line(world):
-    """Otherwise a client could hold its connection for ever."""
-    deployment = world()
+def test_ping_does_not_restart_the_time_limit_of_the_first_line(deploy_with_one_server):
+    """Otherwise a client could hold its connection forever."""
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         started_at = time.monotonic()
         responses = [client.echo(b"PING")]
@@ -71,62 +74,62 @@
                 responses.append(client.echo(b"PING"))
             except OSError:  # the connection was closed
                 break
-            assert time.monotonic() - started_at < WAIT
+            assert time.monotonic() - started_at < TIMEOUT_SECONDS
         assert len(responses) < 16
 
 
-def test_more_than_16_pings_before_an_open_get_an_error(world):
-    deployment = world()
+def test_more_than_16_pings_before_an_open_get_an_error(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"PING\r\n" * 100)
-        assert [client.line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
+        assert [client.read_line() for _ in range(17)] == [b"PONG\r\n"] * 16 + [b"ERR\r\n"]
 
 
 @pytest.mark.parametrize("extra", [b"OPEN b k c=test-run,d=900\r\n" * 100, b"PING\r\n", b"z" * 5000])
-def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(world, extra):
-    deployment = world()
-    deployment.server.answer = b""  # the server is silent, so the attempt lasts until it is cancelled
+def test_client_that_sends_more_before_its_response_gets_an_error_and_no_connection(deploy_with_one_server, extra):
+    deployment = deploy_with_one_server()
+    deployment.server.response = b""  # the server is silent, so the attempt lasts until it is cancelled
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\n" + extra)
-        assert client.line() == b"ERR\r\n"
+        assert client.read_line() == b"ERR\r\n"
     with deployment.client() as client:
         client.send(b"OPEN b k c=test-run,d=3000\r\n")
-        until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
+        wait_until(lambda: any(b" b " in line for line in deployment.server.first_lines), "the attempt")
         client.send(extra)
-        assert client.line() == b"ERR\r\n"
-    assert "connections_established" not in deployment.program.counts()
+        assert client.read_line() == b"ERR\r\n"
+    assert "connections_established" not in deployment.balancer.counts()
 
 
-def test_line_sent_together_with_the_open_is_relayed_once_established(world):
-    deployment = world()
+def test_line_sent_together_with_the_open_is_relayed_once_established(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as client:
         client.send(b"OPEN a k c=test-run,d=3000\r\nM 1\r\n")
-        assert client.line() == b"UP s-0\r\n" and client.line() == b"M 1\r\n"
+        assert client.read_line() == b"UP s-0\r\n" and client.read_line() == b"M 1\r\n"
 
 
-def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(world):
-    deployment = world()
+def test_open_with_the_id_of_another_connection_gets_an_error_and_leaves_that_one_open(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     with deployment.client() as other_client:
         assert other_client.open().startswith(b"UP ")
         line = deployment.server.first_lines[0]
         for _ in range(3):
             with deployment.client() as second_client:
                 second_client.send(line)
-                assert second_client.line() == b"ERR\r\n"
+                assert second_client.read_line() == b"ERR\r\n"
         assert other_client.echo(b"M 1") == b"M 1\r\n"
     assert len(deployment.server.first_lines) == 1
 
 
-def test_repeated_invalid_requests_do_not_fill_the_log_nor_delay_the_shutdown(world):
-    deployment = world()
+def test_repeated_invalid_requests_do_not_fill_the_log_nor_delay_the_shutdown(deploy_with_one_server):
+    deployment = deploy_with_one_server()
     for _ in range(50):
         with deployment.client() as client:
             client.send(b"frob\r\n")
-            assert client.line() == b"ERR\r\n"
-    assert deployment.program.counts()["invalid_requests"] == 50
-    assert len(deployment.program.events("invalid_request")) < 25
+            assert client.read_line() == b"ERR\r\n"
+    assert deployment.balancer.counts()["invalid_requests"] == 50
+    assert len(deployment.balancer.events("invalid_request")) < 25
     silent = deployment.client()
-    assert deployment.program.terminate() == 0
+    assert deployment.balancer.terminate() == 0
     silent.close()
 
 
@@ -146,7 +149,7 @@
             except trio.BrokenResourceError:
                 pass
 
-        with trio.fail_after(WAIT):
+        with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood)
                 bytes_read = 0
@@ -159,7 +162,7 @@
                     return has_more
 
                 link.receive = count_received
-                await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + WAIT))
+                await link.close_lingering(trio.CancelScope(deadline=trio.current_time() + TIMEOUT_SECONDS))
                 assert MAX_LINGER_BYTES <= bytes_read < 2 * MAX_LINGER_BYTES
         await listener.aclose()
 
@@ -223,7 +226,7 @@
 
 def test_eviction_of_a_connection_whose_bytes_have_arrived_is_revoked():
     """Guards against a BUSY for a client whose line was in the kernel when its connection was evicted."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         complete, partial, silent = [await harness.connect() for _ in range(3)]
@@ -268,20 +271,22 @@
 @pytest.mark.parametrize("timing", ["at once", "late", "in pieces"])
 @pytest.mark.parametrize("idle", [0, 200])
 @pytest.mark.parametrize("count", [272, 500])
-def test_all_clients_that_reconnect_together_have_their_connections_adopted(world, count, idle, timing):
+def test_all_clients_that_reconnect_together_have_their_connections_adopted(
+    deploy_with_one_server, count, idle, timing
+):
     """Guards against the eviction of reconnecting clients.
 
     The documented limit is 384 descriptors beyond those of the open connections.
     """
-    deployment = world(limits={"sockets": 384 + 2 * count})
+    deployment = deploy_with_one_server(limits={"sockets": 384 + 2 * count})
     idle_before = [deployment.client() for _ in range(idle // 2)]
     clients = [deployment.client() for _ in range(count)]
     idle_after = [deployment.client() for _ in range(idle - idle // 2)]
     send_open_lines(clients, timing)
-    responses = Counter(client.line() for client in clients)
+    responses = Counter(client.read_line() for client in clients)
     for client in (*clients, *idle_before, *idle_after):
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert responses == {b"UP s-0\r\n": count}, (responses, counts)
     assert "connections_evicted" not in counts and counts["adoptions_established"] == count
 
@@ -297,19 +302,19 @@
     assert slots.max_active >= 4 and min(slots.max_waiting, slots.max_lingering) >= MIN_STAGE_SHARE
 
 
-@pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"files": 928}], ids=str)
-def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(world, limit):
+@pytest.mark.parametrize("limit", [{"limits": {"sockets": 928}}, {"max_descriptors": 928}], ids=str)
+def test_clients_that_reconnect_among_many_idle_ones_have_their_connections_adopted(deploy_with_one_server, limit):
     """Idle clients hold every free descriptor and are evicted; the descriptor limit is never exceeded."""
-    deployment = world(**limit)
+    deployment = deploy_with_one_server(**limit)
     idle_clients = [deployment.client() for _ in range(1200)]
     clients = [deployment.client() for _ in range(272)]
     idle_clients += [deployment.client() for _ in range(100)]
     send_open_lines(clients, "at once")
-    responses = Counter(client.line() for client in clients)
-    descriptors_in_use = deployment.program.descriptors()
+    responses = Counter(client.read_line() for client in clients)
+    descriptors_in_use = deployment.balancer.descriptors()
     for client in (*clients, *idle_clients):
         client.close()
-    counts = deployment.program.counts()
+    counts = deployment.balancer.counts()
     assert responses == {b"UP s-0\r\n": 272}, (responses, counts)
     assert (
         descriptors_in_use <= 928 and counts["connections_evicted"] and "connects_failed_no_descriptors" not in counts
--- a/tests/test_idempotent_retries.py
+++ b/tests/test_idempotent_retries.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 from frontend_harness import REQUEST_CLASS, FrontendHarness, Gate
-from standins import Runner, reset
+from standins import StubServer, reset
 
 PURE_CLASS, SIDE_EFFECT_CLASS = {**REQUEST_CLASS, "repeat": "pure"}, {**REQUEST_CLASS, "repeat": "side_effect"}
 
@@ -23,14 +23,14 @@
     """
 
     def __init__(self, request_class, zones=("surabaya", "surabaya"), cells=(0, 0)):
-        self.servers = [Runner(f"s-{i}") for i in range(len(zones))]
+        self.servers = [StubServer(f"s-{i}") for i in range(len(zones))]
         for server in self.servers:
-            server.held = True
-        targets = [
-            server.target(az=zone, pod_group=cell)
+            server.hold_connections = True
+        entries = [
+            server.endpoint_entry(az=zone, pod_group=cell)
             for server, zone, cell in zip(self.servers, zones, cells, strict=True)
         ]
-        self.harness = FrontendHarness(self.servers, request_classes=[request_class], targets=targets)
+        self.harness = FrontendHarness(self.servers, request_classes=[request_class], entries=entries)
         self.response, self.clock_offset = b"", 0.0
         clock = self.harness.driver._clock
         self.harness.driver._clock = lambda: clock() + self.clock_offset
@@ -42,9 +42,9 @@
             client = await harness.send_open()
             await harness.wait_until(lambda: any(server.first_lines for server in self.servers))
             first_server = next(server for server in self.servers if server.first_lines)
-            connection, _ = await trio.to_thread.run_sync(first_server.offered)
+            connection, _ = await trio.to_thread.run_sync(first_server.next_held_connection)
             for server in self.servers:
-                server.held = False
+                server.hold_connections = False
             await failure(self, connection)
             self.response = await client.read_line()
             client.stream.socket.close()
@@ -125,7 +125,7 @@
     ids=str,
 )
 def test_deduplication_window_that_ends_while_a_retry_connects_prevents_its_first_byte(request_class, expected):
-    """Guards against checking only the server at that point, since the retry was decided within the window."""
+    """The window had not ended when the retry was decided, so the check after the connect must cover it again."""
 
     async def failure(scenario, connection):
         gate = Gate()
@@ -155,7 +155,7 @@
 
 
 def test_request_whose_connect_takes_too_long_is_rejected_as_not_executed():
-    """Guards against failing a request that must not be repeated as if it had been sent."""
+    """Guards against failing such a request as if it had been sent; the client may retry what was not executed."""
 
     async def script(harness):
         gate = Gate()
@@ -166,6 +166,6 @@
         client.stream.socket.close()
         await harness.wait_until_all_closed()
 
-    server = Runner("s-0")
+    server = StubServer("s-0")
     FrontendHarness([server], request_classes=[SIDE_EFFECT_CLASS]).run(script)
     assert not server.first_lines
--- a/tests/test_importer.py
+++ b/tests/test_importer.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from standins import ROOT, WAIT, Client, Runner, free_port, until
+from standins import ROOT, TIMEOUT_SECONDS, Client, StubServer, free_port, wait_until
 
 from aspensaddle.daemon.config import parse_config
 from aspensaddle.importer.converter import convert
@@ -145,12 +145,12 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=WAIT,
+        timeout=TIMEOUT_SECONDS,
     )
 
 
 def test_the_command_writes_a_configuration_with_which_the_balancer_serves(tmp_path):
-    server, port = Runner("s-0"), free_port()
+    server, port = StubServer("s-0"), free_port()
     text = (
         VALID_CONFIGURATION.replace("127.0.0.1:9001 weight=3", f"127.0.0.1:{server.address[1]}")
         .replace("    server 127.0.0.1:9002;\n    server 127.0.0.1:9003 down;\n", "")
@@ -160,7 +160,7 @@
     completed = run_importer(write_file(tmp_path, text), "-o", str(output))
     assert (completed.returncode, completed.stdout, completed.stderr) == (0, "", "")
     assert json.loads(output.read_text())["known"]["targets"][0]["uid"] == f"127.0.0.1:{server.address[1]}"
-    program = subprocess.Popen(
+    balancer = subprocess.Popen(
         [sys.executable, "-m", "aspensaddle"],
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
@@ -175,10 +175,10 @@
             return False
 
     try:
-        until(serves, "the imported configuration serves")
+        wait_until(serves, "a connection under the imported configuration")
     finally:
-        program.kill()
-        program.wait(WAIT)
+        balancer.kill()
+        balancer.wait(TIMEOUT_SECONDS)
         server.close()
 
 
--- a/tests/test_response_delivery.py
+++ b/tests/test_response_delivery.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 from frontend_harness import FrontendHarness, Gate
-from standins import Runner
+from standins import StubServer
 
 from aspensaddle.frontends.line_protocol.connection_slots import ConnectionSlots
 from aspensaddle.frontends.line_protocol.link import Link
@@ -15,12 +15,12 @@
 
 def test_client_that_still_sends_after_the_server_ended_gets_the_bye_without_a_reset():
     """Guards against a plain close while lines of the client are unread, which would reset the connection."""
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         connection.sendall(b"UP s-0\r\n")
         assert await client.read_line() == b"UP s-0\r\n"
         connection.sendall(b"BYE\r\n")
@@ -37,7 +37,7 @@
 
 
 def test_open_that_arrives_during_an_eviction_gets_a_complete_busy_and_no_attempt():
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
         gate = Gate()
@@ -62,7 +62,7 @@
 )
 def test_response_not_sent_yet_arrives_although_descriptors_are_freed(free_descriptors):
     """Guards against counting a connection as lingering before its response is written."""
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
 
     async def script(harness):
         gate = Gate()
@@ -80,18 +80,18 @@
 
 
 def test_response_that_is_being_sent_arrives_although_the_process_ends(monkeypatch):
-    server = Runner("s-0", b"BUSY\r\n")
+    server = StubServer("s-0", b"BUSY\r\n")
     send = Link.send
 
     async def script(harness):
         gate = Gate()
 
-        async def held(link, data):
+        async def send_once_opened(link, data):
             if data.startswith(b"BUSY"):
                 await gate.wait_until_opened()
             await send(link, data)
 
-        monkeypatch.setattr(Link, "send", held)
+        monkeypatch.setattr(Link, "send", send_once_opened)
         client = await harness.send_open()
         await gate.reached.wait()
         harness.nursery.cancel_scope.cancel()
@@ -105,16 +105,16 @@
 
 def test_migration_decided_while_a_connection_is_established_sends_move_after_up():
     """The relay does not exist yet at that moment, so it cannot be stopped."""
-    server = Runner("s-0")
+    server = StubServer("s-0")
 
     async def script(harness):
-        established = harness.driver.connection_established
+        connection_established = harness.driver.connection_established
 
-        def and_migrate(id):
-            established(id)
+        def establish_and_migrate(id):
+            connection_established(id)
             harness.driver._requests[id].handler.migrate()
 
-        harness.driver.connection_established = and_migrate
+        harness.driver.connection_established = establish_and_migrate
         client = await harness.send_open()
         assert await client.read_to_end() == b"UP s-0\r\nMOVE\r\n" and not client.was_reset
         client.stream.socket.close()
@@ -124,22 +124,22 @@
 
 
 def test_migration_after_sending_to_the_client_ended_sends_no_move():
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         connection.sendall(b"UP s-0\r\n")
         await client.read_line()
         (state,) = harness.frontend.open_connections.values()
         end_sending = Link.end_sending
 
-        async def and_migrate(link):
+        async def end_sending_and_migrate(link):
             await end_sending(link)
             state.migrate()
 
-        state.client.end_sending = lambda: and_migrate(state.client)
+        state.client.end_sending = lambda: end_sending_and_migrate(state.client)
         connection.sendall(b"BYE\r\n")
         connection.shutdown(1)
         assert await client.read_to_end() == b"UP s-0\r\nBYE\r\n" and not client.was_reset
@@ -152,13 +152,13 @@
 
 @pytest.mark.parametrize("response", [b"LOAD 1\r\n" * 2000, b"x" * 4097, b"UP s-0", b"UP " + b"x" * 4095 + b"\r\n"])
 def test_endless_or_too_long_server_response_fails_the_attempt_and_a_second_one_succeeds(response):
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open()
-        connection, _ = await trio.to_thread.run_sync(server.offered)
-        server.held = False
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
+        server.hold_connections = False
         connection.sendall(response)
         if response == b"UP s-0":
             connection.shutdown(1)
@@ -171,16 +171,16 @@
 
 
 def test_server_response_after_the_attempt_timed_out_is_not_passed_on():
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         client = await harness.send_open("c=test-run,d=300")
-        connection, _ = await trio.to_thread.run_sync(server.offered)
+        connection, _ = await trio.to_thread.run_sync(server.next_held_connection)
         assert (await client.read_line()).startswith(b"BUSY")
         connection.sendall(b"UP s-0\r\n")
-        got = await client.read_to_end()
-        assert got.count(b"\r\n") == 1 and got.startswith(b"BUSY") and not client.was_reset
+        received = await client.read_to_end()
+        assert received.count(b"\r\n") == 1 and received.startswith(b"BUSY") and not client.was_reset
         client.stream.socket.close()
         await harness.wait_until_all_closed()
 
@@ -189,12 +189,12 @@
 
 def test_event_loop_lag_is_subtracted_from_the_time_left_of_a_request():
     """The time of a request counts from the last byte of its line, also if the process reads the line late."""
-    server = Runner("s-0")
-    server.held = True
+    server = StubServer("s-0")
+    server.hold_connections = True
 
     async def script(harness):
         first = await harness.send_open()
-        await trio.to_thread.run_sync(server.offered)
+        await trio.to_thread.run_sync(server.next_held_connection)
         await harness.wait_until(lambda: harness.frontend.pending_requests)
         client = await harness.connect()
         await harness.wait_until(lambda: harness.frontend.slots.open == 2)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import ROOT, SETTINGS, WAIT, Client, Program, Runner, free_port, until
+from standins import ROOT, SETTINGS, TIMEOUT_SECONDS, BalancerProcess, Client, StubServer, free_port, wait_until
 
 from aspensaddle.daemon.store_integration import parse_stored_endpoints
 from aspensaddle.store.messages import (
@@ -178,7 +178,7 @@
         assert str(error)
 
 
-def test_stored_endpoints_are_decoded_as_discovery_s_and_invalid_ones_are_reported():
+def test_stored_endpoints_are_decoded_like_those_of_discovery_and_invalid_ones_are_reported():
     endpoint = {"uid": "s-1", "endpoint": "127.0.0.1:1", "state": "active"}
     stored = parse_stored_endpoints(
         {"runner/s-1": json.dumps(endpoint), "runner/s-2": json.dumps(endpoint), "runner/s-3": "{"}
@@ -205,7 +205,7 @@
     completed = subprocess.run(
         [sys.executable, "-m", "aspensaddle.store", str(settings_file), *arguments],
         cwd=ROOT,
-        timeout=WAIT,
+        timeout=TIMEOUT_SECONDS,
         capture_output=True,
         text=True,
     )
@@ -214,7 +214,7 @@
 
 
 def test_daemons_use_the_stored_endpoints_and_settings_before_and_after_restarts(tmp_path):
-    server = Runner("s-9")
+    server = StubServer("s-9")
     nodes = {node: f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}" for node in ("n0", "n1")}
     store_settings = (
         f'enabled = true\nrunners = true\ngossip_s = 0.1\nkey = "{SHARED_KEY.hex()}"\n[nodes]\n'
@@ -224,7 +224,9 @@
     try:
         for name in nodes:
             (tmp_path / name).mkdir()
-            balancers.append(Program(tmp_path / name, ("127.0.0.1", 9), [], store=store_settings, name=name))
+            balancers.append(
+                BalancerProcess(tmp_path / name, ("127.0.0.1", 9), [], store_toml=store_settings, name=name)
+            )
         settings_file = tmp_path / "n0" / "store.toml"
 
         def serves(balancer):
@@ -232,25 +234,29 @@
                 return client.open("c=test-run,d=1000") == b"UP s-9\r\n"
 
         assert not serves(balancers[0])  # no server is known yet
-        assert run_store_command(settings_file, "put", "runner/s-9", json.dumps(server.target())) == (0, "")
+        assert run_store_command(settings_file, "put", "runner/s-9", json.dumps(server.endpoint_entry())) == (0, "")
         request_classes = [{**SETTINGS["lanes"][0], "name": "renamed"}, *SETTINGS["lanes"]]
         assert run_store_command(
             settings_file, "put", "config/settings", json.dumps({**SETTINGS, "lanes": request_classes})
         ) == (0, "")
         for balancer in balancers:
-            until(lambda current=balancer: serves(current), "the stored endpoint list is in use")
+            wait_until(lambda current=balancer: serves(current), "the use of the stored endpoint list")
         # Each restarts without data in turn and gets the entries back from the other.
         for balancer in balancers:
             balancer.kill()
             balancer.start()
-            until(lambda current=balancer: serves(current), "the stored endpoint list is in use after the restart")
+            wait_until(
+                lambda current=balancer: serves(current), "the use of the stored endpoint list after the restart"
+            )
             with Client(balancer.address) as client:
                 assert client.open("c=renamed,d=1000") == b"UP s-9\r\n"  # the stored settings are in force
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         for data in (b"", b"x" * 40, b"y" * 9000):
             sender.sendto(data, ("127.0.0.1", int(nodes["n0"].split(":")[1])))
         sender.close()
-        until(lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "invalid datagrams are counted")
+        wait_until(
+            lambda: balancers[0].counts().get("store_datagrams_rejected", 0) >= 3, "the count of invalid datagrams"
+        )
         assert run_store_command(settings_file, "get", "runner/s-9")[1].startswith("{")
         assert run_store_command(settings_file, "remove", "runner/s-9") == (0, "")
         assert run_store_command(settings_file, "get", "runner/s-9")[0] == 1
